--- a/tamarackhaven/fleet/_addresses.py
+++ b/tamarackhaven/fleet/_addresses.py
@@ -4,7 +4,7 @@
 
 # Load: control VMs that are replaced for months. Harm: each address that is long gone
 # is dialled at every search. Limit: some generations of the largest group.
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 
 class HeardAddresses:
@@ -21,5 +21,5 @@
         for host, port in addresses:
             self._addresses[host, port] = None
             self._addresses.move_to_end((host, port))
-        while len(self._addresses) > MOST_ADDRESSES:
+        while len(self._addresses) > MAX_ADDRESSES:
             self._addresses.popitem(last=False)
--- a/tamarackhaven/fleet/_control.py
+++ b/tamarackhaven/fleet/_control.py
@@ -14,8 +14,8 @@
 from tamarackhaven._storage import Storage
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.fleet import _growth
-from tamarackhaven.fleet._feed import Feed
-from tamarackhaven.fleet._group_keeper import GroupKeeper
+from tamarackhaven.fleet._feed import UpdateCache
+from tamarackhaven.fleet._group_keeper import MembershipManager
 from tamarackhaven.fleet._group_links import GroupLinks
 from tamarackhaven.fleet._leadership import Leadership
 from tamarackhaven.fleet._machine import FleetMachine
@@ -35,17 +35,17 @@
 from tamarackhaven.net import LinkServer, listen
 
 # Heartbeats cross zones in a millisecond; a leader is missed after five of them.
-RAFT = RaftSettings(heartbeat_ms=100, election_ms=500, first_election_ms=200)
+RAFT_SETTINGS = RaftSettings(heartbeat_ms=100, election_ms=500, first_election_ms=200)
 # The leader looks at targets, keys and members so often.
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 # An order waits so long for the voters that the tolerated losses need. After that the
 # group accepts with those that there are: a control VM may be missing for good.
-FOUNDING_PATIENCE_S = 20.0
+FOUNDING_TIMEOUT_S = 20.0
 READ_TIMEOUT_S = 1.0
 # Load: releases that come one by one, from many daemons at once. Harm: a look at all
 # targets and keys for each fills the leader's processor. Limit: a small part of the
 # time in which keys move.
-DECIDE_PAUSE_S = 0.02
+MIN_DECISION_INTERVAL_S = 0.02
 
 
 class NotLeading(Exception):
@@ -82,25 +82,25 @@
         self._metrics = metrics
         self._on_fatal = on_fatal
         self._host, self._port = split(settings.links)
-        self._wanted = _growth.voters_wanted(settings.tolerated_losses)
+        self._required_voters = _growth.count_required_voters(settings.tolerated_losses)
         self._session_by_link = {}
-        self._feed = Feed()
-        self._decided_s = float("-inf")
-        self._deciding = None
+        self._update_cache = UpdateCache()
+        self._last_decision_s = float("-inf")
+        self._decision_timer = None
         self._leadership = None
-        self._preparing_term = None
+        self._confirming_term = None
         self._last_role = (None, "")
         self._started_s = boot_s()
         self._is_founded = False
         self._tasks = []
         self._loop = None
         self.consensus = None
-        self.machine = FleetMachine(self._applied)
+        self.machine = FleetMachine(self._on_applied)
         self._answers = ReportAnswers(
             self._read, self._leadership_in_force, self.machine, metrics
         )
         self._links = None
-        self._keeper = None
+        self._membership_manager = None
         self._server = LinkServer(CONTROL_CODEC, self._on_message, self._on_closed)
 
     # Start and stop.
@@ -119,10 +119,10 @@
         hello = MemberHello(name, self._host, self._port)
         self._links = GroupLinks(hello, self._on_hint)
         for member in membership.members:
-            self._links.know(member.name, member.host, member.port)
+            self._links.set_address(member.name, member.host, member.port)
         self.consensus = Consensus(
             name,
-            RAFT,
+            RAFT_SETTINGS,
             storage,
             membership,
             self._send_consensus,
@@ -131,18 +131,18 @@
             random.Random(os.urandom(16)),
             self._on_fatal,
         )
-        self._keeper = GroupKeeper(
+        self._membership_manager = MembershipManager(
             self._settings,
-            self._wanted,
+            self._required_voters,
             self.consensus,
             self._links,
             self._log,
             boot_s(),
         )
-        place = split(self._settings.links_listen or self._settings.links)
-        await listen(self._server, "links", *place)
+        address = split(self._settings.links_listen or self._settings.links)
+        await listen(self._server, "links", *address)
         self.consensus.start()
-        self._tasks.append(self._loop.create_task(self._tick_forever()))
+        self._tasks.append(self._loop.create_task(self._run_ticks()))
         self._log.say(
             "started",
             member=name,
@@ -165,7 +165,7 @@
     def reload(self, settings):
         """Take the seeds, the only setting that may change while the process runs."""
         self.settings = settings
-        self._keeper.reload(settings)
+        self._membership_manager.reload(settings)
         self._log.say("settings reloaded", seeds=settings.seeds)
 
     async def stop(self):
@@ -184,7 +184,7 @@
     def _send_consensus(self, messages):
         self._loop.call_soon_threadsafe(self._links.send, messages)
 
-    def _applied(self, index, command, outcome):
+    def _on_applied(self, index, command, outcome):
         if self._loop is not None:
             self._loop.call_soon_threadsafe(self._after_apply, index, command, outcome)
 
@@ -203,7 +203,7 @@
                 outcome=kind,
                 detail=outcome.detail or getattr(command, "cause", ""),
             )
-        self._push()
+        self._send_state_updates()
 
     @property
     def leads(self):
@@ -225,34 +225,34 @@
 
     def _on_message(self, link, message):
         if isinstance(message, ConsensusBatch):
-            self.consensus.deliver(self._links.heard(message.messages))
+            self.consensus.deliver(self._links.receive(message.messages))
         elif isinstance(message, MemberHello):
-            self._links.know(message.name, message.host, message.port)
-            self._keeper.heard_of([(message.host, message.port)])
+            self._links.set_address(message.name, message.host, message.port)
+            self._membership_manager.add_addresses([(message.host, message.port)])
         elif isinstance(message, JoinGroup):
-            link.send(self._keeper.asked(message, boot_s()))
+            link.send(self._membership_manager.handle_join_request(message, boot_s()))
         elif isinstance(message, DaemonHello):
-            self._greet(link, message)
+            self._on_daemon_hello(link, message)
         elif isinstance(message, Report):
-            self._take_report(link, message)
+            self._on_report(link, message)
 
     def _on_hint(self, hint):
-        self._keeper.heard_of(hint.control)
+        self._membership_manager.add_addresses(hint.control)
 
     def _on_closed(self, link):
         session = self._session_by_link.pop(link, None)
         if session is not None:
             self._log.say("daemon lost", daemon=session.daemon)
 
-    def _greet(self, link, hello):
+    def _on_daemon_hello(self, link, hello):
         status = self.consensus.status()
         leader = status.membership.by_name.get(status.leader)
         address = (leader.host, leader.port) if leader else None
-        control = (*self._keeper.addresses, (self._host, self._port))
+        control = (*self._membership_manager.addresses, (self._host, self._port))
         link.send(LeaderHint(self.leads, status.term, address, control))
         if not self.leads:
             return
-        session = Session(hello.daemon, link, self._feed, hello.known)
+        session = Session(hello.daemon, link, self._update_cache, hello.known)
         self._session_by_link[link] = session
         self._log.say("daemon found", daemon=hello.daemon)
         link.send(self._leadership.targets_view())
@@ -261,19 +261,19 @@
 
     # Leases.
 
-    def _take_report(self, link, report):
+    def _on_report(self, link, report):
         if not self.leads or link not in self._session_by_link:
             link.abort()
             return
         self._leadership.report(report, boot_s())
-        self._answers.take(link, report)
+        self._answers.add(link, report)
         session = self._session_by_link[link]
-        session.confirmed(report.state_index)
+        session.acknowledge(report.state_index)
         with self.machine.lock:
-            session.send_news(self.machine.state)
-        self._send_news()
+            session.send_updates(self.machine.state)
+        self._send_targets_update()
         if report.releases or report.ended_lives:
-            self._decide_soon()
+            self._schedule_decision()
 
     async def _read(self):
         future = asyncio.wrap_future(self.consensus.read())
@@ -286,15 +286,15 @@
 
     # News for daemons.
 
-    def _push(self):
+    def _send_state_updates(self):
         if not self._session_by_link:
             return
         with self.machine.lock:
             for session in self._session_by_link.values():
-                session.send_news(self.machine.state)
+                session.send_updates(self.machine.state)
 
-    def _send_news(self):
-        view = self._leadership.take_news()
+    def _send_targets_update(self):
+        view = self._leadership.take_targets_update()
         if view is None:
             return
         for target in view.targets:
@@ -313,9 +313,9 @@
 
     # The leader's duties.
 
-    async def _tick_forever(self):
+    async def _run_ticks(self):
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             try:
                 await self._tick()
             except Exception as error:
@@ -324,20 +324,20 @@
 
     async def _tick(self):
         status = self.consensus.status()
-        self._note_role(status)
+        self._update_role(status)
         now = boot_s()
         for member in status.membership.members:
-            self._links.know(member.name, member.host, member.port)
+            self._links.set_address(member.name, member.host, member.port)
         if status.role is not Role.LEADER:
-            self._keeper.ask_to_join(status, now)
+            self._membership_manager.ask_to_join(status, now)
             return
         if self._leadership is None:
-            self._take_lead(status.term)
+            self._start_confirming(status.term)
             return
         self._decide()
-        await self._keeper.grow(status, now)
+        await self._membership_manager.make_due_change(status, now)
 
-    def _note_role(self, status):
+    def _update_role(self, status):
         role = (status.role, status.leader)
         if role != self._last_role:
             self._last_role = role
@@ -352,16 +352,16 @@
             for link in list(self._session_by_link):
                 link.abort()
 
-    def _take_lead(self, term):
-        if self._preparing_term != term:
-            self._preparing_term = term
-            self._tasks.append(self._loop.create_task(self._confirm_lead(term)))
+    def _start_confirming(self, term):
+        if self._confirming_term != term:
+            self._confirming_term = term
+            self._tasks.append(self._loop.create_task(self._confirm_leadership(term)))
 
-    async def _confirm_lead(self, term):
+    async def _confirm_leadership(self, term):
         try:
             await self._read()
         except TamarackhavenError:
-            self._preparing_term = None
+            self._confirming_term = None
             return
         if self.consensus.status().term != term:
             return
@@ -370,32 +370,34 @@
         self._metrics.count("tamarackhaven_fleet_leaderships_total")
         self._log.say("leads", term=term)
 
-    def _decide_soon(self):
+    def _schedule_decision(self):
         """Decide now, or once the shortest pause since the last time is over."""
-        if self._deciding is None:
-            wait_s = max(self._decided_s + DECIDE_PAUSE_S - boot_s(), 0.0)
-            self._deciding = self._loop.call_later(wait_s, self._decide)
+        if self._decision_timer is None:
+            wait_s = max(
+                self._last_decision_s + MIN_DECISION_INTERVAL_S - boot_s(), 0.0
+            )
+            self._decision_timer = self._loop.call_later(wait_s, self._decide)
 
     def _decide(self):
-        if self._deciding is not None:
-            self._deciding.cancel()
-            self._deciding = None
+        if self._decision_timer is not None:
+            self._decision_timer.cancel()
+            self._decision_timer = None
         if not self.leads:
             return
         leadership = self._leadership
-        self._decided_s = boot_s()
+        self._last_decision_s = boot_s()
         with self.machine.lock:
             commands = leadership.tick(self.machine.state, boot_s())
         for command in commands:
             future = self.consensus.propose(encode(command), leadership.term)
             future.add_done_callback(
-                functools.partial(self._proposed, leadership, command)
+                functools.partial(self._on_proposal_done, leadership, command)
             )
         self._metrics.gauge(
             "tamarackhaven_fleet_changes_undecided", leadership.undecided_count
         )
 
-    def _proposed(self, leadership, command, future):
+    def _on_proposal_done(self, leadership, command, future):
         """Note what became of a change; on the member's thread."""
         error = future.exception()
         if error is None:
@@ -405,13 +407,13 @@
             kind = getattr(error, "kind", ErrorKind.INTERNAL)
             is_void = kind is not ErrorKind.CHANGE_UNCONFIRMED
         self._loop.call_soon_threadsafe(
-            self._after_proposal, leadership, command, is_void
+            self._on_proposal_outcome, leadership, command, is_void
         )
 
-    def _after_proposal(self, leadership, command, is_void):
+    def _on_proposal_outcome(self, leadership, command, is_void):
         if is_void:
             leadership.not_taken(command)
-        self._decide_soon()
+        self._schedule_decision()
 
     # Orders of operators.
 
@@ -425,7 +427,7 @@
         TamarackhavenError
             NO_QUORUM if it was not accepted; CHANGE_UNCONFIRMED if it may be.
         """
-        self._require_lead()
+        self._require_leadership()
         self._require_voters()
         future = asyncio.wrap_future(self.consensus.propose(encode(command)))
         try:
@@ -435,7 +437,7 @@
                 ErrorKind.CHANGE_UNCONFIRMED, "no quorum confirmed it in time"
             ) from error
 
-    def _require_lead(self):
+    def _require_leadership(self):
         if self.leads:
             return
         status = self.consensus.status()
@@ -456,10 +458,10 @@
             self._is_founded = self.machine.state.configuration.version > 0
         voters = len(self.consensus.status().membership.voters)
         waited_s = boot_s() - self._started_s
-        is_short = voters < self._wanted and not self._is_founded
-        if is_short and waited_s < FOUNDING_PATIENCE_S:
+        has_too_few = voters < self._required_voters and not self._is_founded
+        if has_too_few and waited_s < FOUNDING_TIMEOUT_S:
             raise TamarackhavenError(
-                ErrorKind.NO_QUORUM, f"{voters} of {self._wanted} voters", 0.2
+                ErrorKind.NO_QUORUM, f"{voters} of {self._required_voters} voters", 0.2
             )
         self._is_founded = True
 
@@ -473,7 +475,7 @@
         TamarackhavenError
             NO_QUORUM if that can't be confirmed.
         """
-        self._require_lead()
+        self._require_leadership()
         await self._read()
         with self.machine.lock:
             return self.machine.state.configuration
--- a/tamarackhaven/fleet/_feed.py
+++ b/tamarackhaven/fleet/_feed.py
@@ -19,10 +19,10 @@
 from tamarackhaven.routing import bare, difference
 
 # Daemons are at one of the last few states; others get the whole.
-MOST_KEPT = 64
+MAX_CACHED_UPDATES = 64
 
 
-class Feed:
+class UpdateCache:
     """Packed messages, by the part and the indexes between which they lead."""
 
     def __init__(self):
@@ -81,6 +81,6 @@
         if packed is None:
             packed = CONTROL_CODEC.packed(make())
             self._packed_by_step[step] = packed
-            if len(self._packed_by_step) > MOST_KEPT:
+            if len(self._packed_by_step) > MAX_CACHED_UPDATES:
                 self._packed_by_step.popitem(last=False)
         return packed
--- a/tamarackhaven/fleet/_group_links.py
+++ b/tamarackhaven/fleet/_group_links.py
@@ -13,13 +13,13 @@
 )
 from tamarackhaven.net import dial
 
-REDIAL_S = 0.15
+REDIAL_INTERVAL_S = 0.15
 # Consensus sends heartbeats many times a second: a link on which nothing comes back
 # for so long has gone silent without a reset.
-SILENT_S = 1.0
+LINK_SILENCE_TIMEOUT_S = 1.0
 # Load: a member that is cut off. Harm: what waits for it fills the memory. Limit: some
 # seconds of heartbeats; consensus repeats what matters.
-MOST_WAITING = 128
+MAX_QUEUED_MESSAGES = 128
 
 
 class GroupLinks:
@@ -38,9 +38,9 @@
         self._on_hint = on_hint
         self._address_by_name = {}
         self._outgoing_by_address = {}
-        self.heard_s_by_name = {}
+        self.last_received_s_by_name = {}
 
-    def know(self, name, host, port):
+    def set_address(self, name, host, port):
         """Note where a member takes links."""
         self._address_by_name[name] = (host, port)
 
@@ -61,14 +61,14 @@
         for address in addresses:
             self._outgoing(address).send(request)
 
-    def heard(self, messages):
+    def receive(self, messages):
         """Note who was heard, and return the messages."""
         unpacked = [
             from_wire(_wire_pb2.RaftMessage.FromString(each)) for each in messages
         ]
         now = boot_s()
         for message in unpacked:
-            self.heard_s_by_name[message.sender] = now
+            self.last_received_s_by_name[message.sender] = now
         return unpacked
 
     def _outgoing(self, address):
@@ -91,7 +91,7 @@
         self._address = address
         self._hello = hello
         self._on_hint = on_hint
-        self._waiting = []
+        self._queued = []
         self._link = None
         self._task = None
         self._is_closed = False
@@ -100,32 +100,32 @@
         """Send now, or once the link stands."""
         if self._link is not None and self._link.is_open:
             self._link.send(message)
-            self._link.probe(boot_s(), SILENT_S)
+            self._link.probe(boot_s(), LINK_SILENCE_TIMEOUT_S)
             return
-        self._waiting.append(message)
-        del self._waiting[:-MOST_WAITING]
+        self._queued.append(message)
+        del self._queued[:-MAX_QUEUED_MESSAGES]
         if self._task is None and not self._is_closed:
             self._task = asyncio.get_running_loop().create_task(self._dial())
 
     async def _dial(self):
         try:
-            while not self._is_closed and self._waiting:
+            while not self._is_closed and self._queued:
                 try:
                     link = await dial(
                         self._address,
                         CONTROL_CODEC,
                         self._on_message,
-                        self._closed,
+                        self._on_closed,
                     )
                 except OSError:
                     # What waited meanwhile is out of date; newer messages follow.
-                    self._waiting.clear()
-                    await asyncio.sleep(REDIAL_S)
+                    self._queued.clear()
+                    await asyncio.sleep(REDIAL_INTERVAL_S)
                     continue
                 self._link = link
                 link.send(self._hello)
-                waiting, self._waiting = self._waiting, []
-                for message in waiting:
+                queued, self._queued = self._queued, []
+                for message in queued:
                     link.send(message)
         finally:
             self._task = None
@@ -134,7 +134,7 @@
         if isinstance(message, GroupHint):
             self._on_hint(message)
 
-    def _closed(self, link):
+    def _on_closed(self, link):
         if self._link is link:
             self._link = None
 
--- a/tamarackhaven/fleet/_growth.py
+++ b/tamarackhaven/fleet/_growth.py
@@ -11,15 +11,15 @@
 # A voter that is silent for so long is replaced, if another member stands ready. A
 # frozen one that comes back later joins again; a shorter time would replace members
 # over a slow disk, a longer one leaves the group a loss short.
-SILENT_VOTER_S = 2.0
+SILENT_VOTER_TIMEOUT_S = 2.0
 # A learner that never catches up is forgotten, so that the list stays short.
-SILENT_LEARNER_S = 15.0
-FEWEST_VOTERS = 3
+SILENT_LEARNER_TIMEOUT_S = 15.0
+MIN_VOTERS = 3
 
 
-def voters_wanted(tolerated_losses):
+def count_required_voters(tolerated_losses):
     """Return how many voters bear the loss of ``tolerated_losses`` at once."""
-    return max(2 * tolerated_losses + 1, FEWEST_VOTERS)
+    return max(2 * tolerated_losses + 1, MIN_VOTERS)
 
 
 def founders(addresses):
@@ -44,15 +44,15 @@
 
 
 @attrs.frozen
-class Due:
+class DueChange:
     """A membership change and why it is made."""
 
     step: Step
     cause: str
 
 
-def next_step(membership, newcomers, silent_s_by_name, wanted):
-    """Return the change that is due as ``Due``, or None.
+def next_change(membership, newcomers, silent_s_by_name, required_voters):
+    """Return the change that is due as ``DueChange``, or None.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         Who asked of late.
     silent_s_by_name : dict of str to float
         For how many seconds each member was not heard; 0 for the leader itself.
-    wanted : int
+    required_voters : int
         Voters that the group should have.
     """
     for newcomer in newcomers:
@@ -72,17 +72,21 @@
     learners = [
         member
         for member in membership.members
-        if not member.voter and silent_s_by_name[member.name] < SILENT_VOTER_S
+        if not member.voter and silent_s_by_name[member.name] < SILENT_VOTER_TIMEOUT_S
     ]
     silent = [
-        name for name in membership.voters if silent_s_by_name[name] > SILENT_VOTER_S
+        name
+        for name in membership.voters
+        if silent_s_by_name[name] > SILENT_VOTER_TIMEOUT_S
     ]
-    if learners and len(membership.voters) < wanted:
-        return Due(Step("promote", learners[0]), "fewer voters than wanted")
+    if learners and len(membership.voters) < required_voters:
+        return DueChange(Step("promote", learners[0]), "fewer voters than wanted")
     if learners and silent:
         gone = membership.by_name[max(silent, key=silent_s_by_name.get)]
-        return Due(Step("remove", gone), "silent, and another member stands ready")
-    return _tidy(membership, silent_s_by_name)
+        return DueChange(
+            Step("remove", gone), "silent, and another member stands ready"
+        )
+    return _remove_silent_learner(membership, silent_s_by_name)
 
 
 def _admit(membership, newcomer):
@@ -92,13 +96,18 @@
         if (member.host, member.port) == (newcomer.host, newcomer.port):
             # Its disk is gone: another process answers at its address under a new
             # name. It would never vote again, but count for every majority.
-            return Due(Step("remove", member), "its VM came back with an empty disk")
+            return DueChange(
+                Step("remove", member), "its VM came back with an empty disk"
+            )
     member = Member(newcomer.name, newcomer.host, newcomer.port, 0, voter=False)
-    return Due(Step("add", member), "asked to join")
+    return DueChange(Step("add", member), "asked to join")
 
 
-def _tidy(membership, silent_s_by_name):
+def _remove_silent_learner(membership, silent_s_by_name):
     for member in membership.members:
-        if not member.voter and silent_s_by_name[member.name] > SILENT_LEARNER_S:
-            return Due(Step("remove", member), "silent learner")
+        if (
+            not member.voter
+            and silent_s_by_name[member.name] > SILENT_LEARNER_TIMEOUT_S
+        ):
+            return DueChange(Step("remove", member), "silent learner")
     return None
--- a/tamarackhaven/fleet/_joining.py
+++ b/tamarackhaven/fleet/_joining.py
@@ -3,11 +3,11 @@
 from tamarackhaven.fleet._addresses import HeardAddresses
 
 # Without a leader for so long, a member asks the others to be let in again.
-LONELY_S = 1.0
-JOIN_PAUSE_S = 0.5
+LEADERLESS_TIMEOUT_S = 1.0
+JOIN_REQUEST_INTERVAL_S = 0.5
 
 
-class Joining:
+class GroupSearch:
     """A control VM's search for the group that it belongs to.
 
     Failure: the addresses in a newcomer's settings are those of followers, of VMs that
@@ -25,14 +25,14 @@
 
     def __init__(self, own, now):
         self._own = own
-        self._heard_of = HeardAddresses()
-        self._lonely_since_s = now
-        self._asked_s = float("-inf")
-        self._asked = frozenset()
+        self._received_addresses = HeardAddresses()
+        self._leaderless_since_s = now
+        self._last_request_s = float("-inf")
+        self._asked_addresses = frozenset()
 
-    def heard_of(self, addresses):
+    def add_addresses(self, addresses):
         """Note where other control VMs take links."""
-        self._heard_of.add(addresses)
+        self._received_addresses.add(addresses)
 
     def addresses(self, membership, seeds):
         """Return all known addresses of other control VMs.
@@ -45,9 +45,9 @@
             Those of its settings.
         """
         members = {(member.host, member.port) for member in membership.members}
-        return frozenset({*members, *seeds, *self._heard_of} - {self._own})
+        return frozenset({*members, *seeds, *self._received_addresses} - {self._own})
 
-    def to_ask(self, status, seeds, now):
+    def addresses_to_ask(self, status, seeds, now):
         """Return the addresses to ask now; empty if this VM has its group.
 
         Parameters
@@ -60,23 +60,23 @@
             As for the constructor.
         """
         if status.leader:
-            self.note_leader(now)
+            self.record_leader(now)
         is_member = status.name in status.membership.by_name
-        if is_member and self.lonely_s(now) < LONELY_S:
+        if is_member and self.leaderless_s(now) < LEADERLESS_TIMEOUT_S:
             return frozenset()
         addresses = self.addresses(status.membership, seeds)
-        if now - self._asked_s >= JOIN_PAUSE_S:
-            self._asked_s = now
-            self._asked = addresses
+        if now - self._last_request_s >= JOIN_REQUEST_INTERVAL_S:
+            self._last_request_s = now
+            self._asked_addresses = addresses
             return addresses
-        new = addresses - self._asked
-        self._asked |= new
+        new = addresses - self._asked_addresses
+        self._asked_addresses |= new
         return new
 
-    def note_leader(self, now):
+    def record_leader(self, now):
         """Note that this VM has a leader, or leads."""
-        self._lonely_since_s = now
+        self._leaderless_since_s = now
 
-    def lonely_s(self, now):
+    def leaderless_s(self, now):
         """Return for how many seconds this VM has had no leader."""
-        return now - self._lonely_since_s
+        return now - self._leaderless_since_s
--- a/tamarackhaven/fleet/_leases.py
+++ b/tamarackhaven/fleet/_leases.py
@@ -2,7 +2,7 @@
 
 # Two VMs' clocks may run at slightly different rates, and a grant is noted a moment
 # after the daemon asked for it. A hundredth of any lease that may be configured.
-MARGIN_S = 0.15
+CLOCK_MARGIN_S = 0.15
 
 
 class LeaseBook:
@@ -25,28 +25,28 @@
         # gives keys on that another target still holds. Enough: every grant of the
         # former leader was confirmed before this one was elected, and has run out
         # one lease later.
-        self._inherited_until_s = elected_s + lease_s + MARGIN_S
-        self._until_s_by_life = {}
-        self._ended = set()
+        self._inherited_until_s = elected_s + lease_s + CLOCK_MARGIN_S
+        self._expiry_s_by_life = {}
+        self._ended_lives = set()
 
     def granted(self, life, now):
         """Note that a grant for ``life`` leaves now."""
-        self._until_s_by_life[life] = now + self.lease_s + MARGIN_S
+        self._expiry_s_by_life[life] = now + self.lease_s + CLOCK_MARGIN_S
 
     def ended(self, life):
         """Note that a life has certainly ended; it holds nothing any more."""
-        self._ended.add(life)
+        self._ended_lives.add(life)
 
     def has_ended(self, life):
         """Whether the end of a life was seen."""
-        return life in self._ended
+        return life in self._ended_lives
 
     def until_s(self, life):
         """Return when everything that ``life`` may hold has run out."""
-        if life in self._ended:
+        if life in self._ended_lives:
             return float("-inf")
-        return self._until_s_by_life.get(life, self._inherited_until_s)
+        return self._expiry_s_by_life.get(life, self._inherited_until_s)
 
-    def is_over(self, life, now):
+    def has_expired(self, life, now):
         """Whether ``life`` certainly holds nothing any more."""
         return now >= self.until_s(life)
--- a/tamarackhaven/fleet/_model.py
+++ b/tamarackhaven/fleet/_model.py
@@ -101,7 +101,7 @@
     is_cold: bool = False
 
 
-def life_of(name, born_ms, place):
+def life_of(name, born_ms, daemon):
     """Return the name of one life of a target.
 
     Parameters
@@ -110,16 +110,16 @@
         What the target calls itself.
     born_ms : int
         Start of the life.
-    place : str
+    daemon : str
         Its daemon's host and port; a later life at the same place ends this one.
     """
-    return f"{name}@{born_ms}@{place}"
+    return f"{name}@{born_ms}@{daemon}"
 
 
-def place_and_start(life):
+def daemon_and_start(life):
     """Return the place of a life, and its start in milliseconds."""
-    _, born_ms, place = life.rsplit("@", 2)
-    return place, int(born_ms)
+    _, born_ms, daemon = life.rsplit("@", 2)
+    return daemon, int(born_ms)
 
 
 @attrs.frozen(order=True)
--- a/tamarackhaven/fleet/_open_changes.py
+++ b/tamarackhaven/fleet/_open_changes.py
@@ -30,7 +30,7 @@
         command = self._command_by_service.get(service)
         if command is None:
             return False
-        if _stand(command.expected, ranges):
+        if _are_current(command.expected, ranges):
             return True
         del self._command_by_service[service]
         return False
@@ -46,11 +46,11 @@
         if not self.has(service, ranges):
             return owned
         for piece in self._command_by_service[service].ranges:
-            owned = tuple(part for whole in owned for part in minus(whole, piece))
+            owned = tuple(part for whole in owned for part in subtract(whole, piece))
         return owned
 
 
-def minus(whole, piece):
+def subtract(whole, piece):
     """Return what is left of ``whole`` without ``piece``, as a list."""
     if not overlaps(whole, piece):
         return [whole]
@@ -62,7 +62,7 @@
     return left
 
 
-def _stand(expected, ranges):
+def _are_current(expected, ranges):
     """Whether all of ``expected`` are among ``ranges``, which are in order."""
     return all(_find(ranges, each.first) == each for each in expected)
 
--- a/tamarackhaven/fleet/_ranges.py
+++ b/tamarackhaven/fleet/_ranges.py
@@ -23,24 +23,24 @@
     new : iterable of KeyRange
         Without overlap.
     """
-    new = sorted(new, key=_first)
+    new = sorted(new, key=_first_key)
     result = []
-    ahead = 0
+    next_new = 0
     for old in ranges:
-        while ahead < len(new) and new[ahead].last < old.first:
-            ahead += 1
-        if ahead == len(new) or new[ahead].first > old.last:
+        while next_new < len(new) and new[next_new].last < old.first:
+            next_new += 1
+        if next_new == len(new) or new[next_new].first > old.last:
             result.append(old)
         else:
-            result.extend(_cut(old, new[ahead:]))
-    return _joined(sorted([*result, *new], key=_first))
+            result.extend(_remainder(old, new[next_new:]))
+    return _merged(sorted([*result, *new], key=_first_key))
 
 
-def _first(each):
+def _first_key(each):
     return each.first
 
 
-def _cut(old, new):
+def _remainder(old, new):
     """Return what is left of ``old`` outside ``new``."""
     first = old.first
     for each in new:
@@ -53,18 +53,18 @@
         yield attrs.evolve(old, first=first)
 
 
-def _joined(ranges):
+def _merged(ranges):
     """Join neighbours that differ in their keys only; fewer rows fit a heartbeat."""
     result = []
     for each in ranges:
-        if result and _is_held_alike(result[-1], each):
+        if result and _differ_only_in_keys(result[-1], each):
             result[-1] = attrs.evolve(result[-1], last=each.last)
         else:
             result.append(each)
     return tuple(result)
 
 
-def _is_held_alike(one, other):
+def _differ_only_in_keys(one, other):
     """Whether two ranges differ in their keys only."""
     return (
         one.fence == other.fence
--- a/tamarackhaven/fleet/_report_answers.py
+++ b/tamarackhaven/fleet/_report_answers.py
@@ -7,7 +7,7 @@
 
 # Reports that come within this time share one round of heartbeats; it delays a lease
 # by a small part of its length.
-CONFIRM_PAUSE_S = 0.08
+CONFIRM_BATCH_S = 0.08
 
 
 class ReportAnswers:
@@ -35,20 +35,20 @@
         self._machine = machine
         self._metrics = metrics
         self._report_by_link = {}
-        self._confirming = None
+        self._confirm_task = None
 
-    def take(self, link, report):
+    def add(self, link, report):
         """Answer a report soon."""
         self._report_by_link[link] = report
-        if self._confirming is None:
+        if self._confirm_task is None:
             loop = asyncio.get_running_loop()
-            self._confirming = loop.create_task(self._confirm())
+            self._confirm_task = loop.create_task(self._confirm())
 
     async def _confirm(self):
         """Grant what was asked for, once a quorum has heard this leader after it."""
         try:
             while self._report_by_link:
-                await asyncio.sleep(CONFIRM_PAUSE_S)
+                await asyncio.sleep(CONFIRM_BATCH_S)
                 report_by_link, self._report_by_link = self._report_by_link, {}
                 leadership = self._leadership()
                 try:
@@ -59,7 +59,7 @@
                 if leadership is not None and leadership is self._leadership():
                     self._grant(leadership, report_by_link)
         finally:
-            self._confirming = None
+            self._confirm_task = None
 
     def _grant(self, leadership, report_by_link):
         with self._machine.lock:
--- a/tamarackhaven/fleet/_state.py
+++ b/tamarackhaven/fleet/_state.py
@@ -19,11 +19,11 @@
 
 # An operator sends an order again for seconds, not days; this is some hours of
 # changes at the busiest rate that the users name.
-ACCEPTED_KEPT = 4096
+MAX_ACCEPTED_DIGESTS = 4096
 # Former configurations and owners, so that a daemon whose link broke is sent only what
 # it missed. It looks for the leader for a few seconds at most, and the busiest changes
 # come some ten times a second.
-FORMER_KEPT = 64
+MAX_FORMER_VALUES = 64
 
 
 @attrs.frozen
@@ -130,13 +130,13 @@
     return _CONVERTER.structure(msgpack.unpackb(data), Command)
 
 
-class _Former(collections.OrderedDict):
+class _FormerValues(collections.OrderedDict):
     """Former values; the oldest is forgotten first."""
 
     def keep(self, key, value):
         """Remember a value that is present now."""
         self[key] = value
-        if len(self) > FORMER_KEPT:
+        if len(self) > MAX_FORMER_VALUES:
             self.popitem(last=False)
 
 
@@ -153,8 +153,8 @@
         self._last_fence = 0
         self._version_by_digest = collections.OrderedDict()
         # Not part of a snapshot: who has no former state sends the present one whole.
-        self._configuration_by_index = _Former()
-        self._ranges_by_place = _Former()
+        self._configuration_by_index = _FormerValues()
+        self._ranges_by_service_and_index = _FormerValues()
 
     def configuration_at(self, index):
         """Return the configuration that came into force at ``index``, None if gone."""
@@ -162,7 +162,7 @@
 
     def ranges_at(self, service, index):
         """Return the owners of a service's keys as of ``index``, None if gone."""
-        return self._ranges_by_place.get((service, index))
+        return self._ranges_by_service_and_index.get((service, index))
 
     def save(self):
         """Return the state as bytes."""
@@ -206,13 +206,15 @@
 
     @_apply.register
     def _(self, command: ReplaceConfiguration, index):
-        return self._configure(command, command.configuration, index)
+        return self._set_configuration(command, command.configuration, index)
 
     @_apply.register
     def _(self, command: EditConfiguration, index):
-        return self._configure(command, edited(self.configuration, command.edit), index)
+        return self._set_configuration(
+            command, edited(self.configuration, command.edit), index
+        )
 
-    def _configure(self, command, configuration, index):
+    def _set_configuration(self, command, configuration, index):
         # Failure: an operator loses the acknowledgement and sends the order again,
         # perhaps after other changes. Symptom: it hears of a conflict with its own
         # change. Enough: an order is known by its exact content.
@@ -227,16 +229,16 @@
         self.configuration = configuration
         self.configuration_index = index
         self._configuration_by_index.keep(index, configuration)
-        self._remember(command.digest, configuration.version)
-        self._follow_services(index)
+        self._record_digest(command.digest, configuration.version)
+        self._add_sharded_services(index)
         return Outcome()
 
-    def _remember(self, digest, version):
+    def _record_digest(self, digest, version):
         self._version_by_digest[digest] = version
-        if len(self._version_by_digest) > ACCEPTED_KEPT:
+        if len(self._version_by_digest) > MAX_ACCEPTED_DIGESTS:
             self._version_by_digest.popitem(last=False)
 
-    def _follow_services(self, index):
+    def _add_sharded_services(self, index):
         """Start the key ranges of new sharded services.
 
         Those of a service that was removed stay: it may come back, and a fencing
@@ -249,7 +251,7 @@
     def _set_ranges(self, service, ranges, index):
         self.ranges_by_service[service] = ranges
         self.index_by_service[service] = index
-        self._ranges_by_place.keep((service, index), ranges)
+        self._ranges_by_service_and_index.keep((service, index), ranges)
 
     @_apply.register
     def _(self, command: SetZoneOut, index):
--- a/tamarackhaven/fleet/process.py
+++ b/tamarackhaven/fleet/process.py
@@ -52,7 +52,9 @@
     on_signals(stopped.set, lambda: reload_settings(path, control, log))
     await control.start()
     api = make_api(control, split(settings.operators)[1], log.part("orders"))
-    server = HttpServer(api.handle, lambda request, error: _note(log, error))
+    server = HttpServer(
+        api.handle, lambda request, error: _log_internal_error(log, error)
+    )
     await listen(server, "operators", *split(settings.operators))
     if settings.metrics:
         await serve_metrics(metrics, *split(settings.metrics))
@@ -73,5 +75,5 @@
     return 0
 
 
-def _note(log, error):
+def _log_internal_error(log, error):
     log.say("internal error", error=repr(error))
--- a/tests/fleet/test_control_leader.py
+++ b/tests/fleet/test_control_leader.py
@@ -9,11 +9,11 @@
 from tamarackhaven._members import Membership
 from tamarackhaven._metrics import Metrics
 from tamarackhaven._raft import Role
-from tamarackhaven.fleet._control import DECIDE_PAUSE_S, FleetControl
+from tamarackhaven.fleet._control import MIN_DECISION_INTERVAL_S, FleetControl
 from tamarackhaven.fleet._leadership import Leadership
 from tamarackhaven.fleet._messages import LeaseGrant, Report
 from tamarackhaven.fleet._model import Release, Target, TargetPhase, life_of
-from tamarackhaven.fleet._report_answers import CONFIRM_PAUSE_S
+from tamarackhaven.fleet._report_answers import CONFIRM_BATCH_S
 from tamarackhaven.fleet._sessions import Session
 from tamarackhaven.fleet._settings import FleetControlSettings
 
@@ -80,9 +80,9 @@
     async def main():
         control._loop = asyncio.get_running_loop()
         control._session_by_link[link] = Session("d", link)
-        control._take_report(link, Report(1, TARGET))
+        control._on_report(link, Report(1, TARGET))
         change()
-        await asyncio.sleep(3 * CONFIRM_PAUSE_S)
+        await asyncio.sleep(3 * CONFIRM_BATCH_S)
 
     asyncio.run(main())
     return [message for message in link.sent if isinstance(message, LeaseGrant)]
@@ -108,7 +108,7 @@
     control.consensus.term = 3
     link = Link()
     control._session_by_link[link] = Session("d", link)
-    control._take_report(link, Report(1, TARGET))
+    control._on_report(link, Report(1, TARGET))
     assert link.is_aborted
 
 
@@ -121,8 +121,8 @@
         control._loop = asyncio.get_running_loop()
         control._session_by_link[link] = Session("d", link)
         for number in range(1, 501):
-            control._take_report(link, Report(number, TARGET))
-        await asyncio.sleep(3 * CONFIRM_PAUSE_S)
+            control._on_report(link, Report(number, TARGET))
+        await asyncio.sleep(3 * CONFIRM_BATCH_S)
 
     asyncio.run(main())
     grants = [each for each in link.sent if isinstance(each, LeaseGrant)]
@@ -139,12 +139,12 @@
     async def main():
         control._loop = asyncio.get_running_loop()
         control._session_by_link[link] = Session("d", link)
-        ends_s = control._loop.time() + 10 * DECIDE_PAUSE_S
+        ends_s = control._loop.time() + 10 * MIN_DECISION_INTERVAL_S
         number = 0
         while control._loop.time() < ends_s:
             number += 1
             release = Release(0, number, "token")
-            control._take_report(link, Report(number, TARGET, releases=(release,)))
+            control._on_report(link, Report(number, TARGET, releases=(release,)))
             await asyncio.sleep(0)
         return number
 
--- a/tests/fleet/test_group_keeper.py
+++ b/tests/fleet/test_group_keeper.py
@@ -9,8 +9,8 @@
 from tamarackhaven._members import Member, Membership
 from tamarackhaven._raft import Role
 from tamarackhaven.fleet._control import FleetControl
-from tamarackhaven.fleet._group_keeper import GroupKeeper
-from tamarackhaven.fleet._joining import LONELY_S
+from tamarackhaven.fleet._group_keeper import MembershipManager
+from tamarackhaven.fleet._joining import LEADERLESS_TIMEOUT_S
 from tamarackhaven.fleet._messages import JoinGroup
 from tamarackhaven.fleet._settings import FleetControlSettings, FleetLeaseSettings
 
@@ -39,9 +39,9 @@
 class FakeLinks:
     def __init__(self):
         self.asked = []
-        self.heard_s_by_name = {}
+        self.last_received_s_by_name = {}
 
-    def know(self, name, host, port):
+    def set_address(self, name, host, port):
         pass
 
     def ask_to_join(self, addresses):
@@ -66,8 +66,8 @@
     )
 
 
-def keeper_of(consensus, links=None, log=None):
-    return GroupKeeper(
+def make_manager(consensus, links=None, log=None):
+    return MembershipManager(
         settings(), 3, consensus, links or FakeLinks(), log or Says(), 0.0
     )
 
@@ -83,7 +83,7 @@
 def test_the_log_tells_whom_a_newcomer_asks():
     log = Says()
     newcomer = a_newcomer()
-    keeper_of(newcomer, log=log).ask_to_join(newcomer.status(), 1e9)
+    make_manager(newcomer, log=log).ask_to_join(newcomer.status(), 1e9)
     ((sentence, fields),) = log.lines
     assert sentence == "asks to join"
     assert fields["addresses"] == ["10.0.0.2:7", "10.0.0.3:7"]
@@ -91,7 +91,7 @@
 
 def test_the_log_tells_who_asked_a_member_that_does_not_lead():
     log = Says()
-    keeper_of(a_follower(), log=log).asked(NEWCOMER, 1e9)
+    make_manager(a_follower(), log=log).handle_join_request(NEWCOMER, 1e9)
     ((sentence, fields),) = log.lines
     assert sentence == "asked to join"
     assert not fields["leads"]
@@ -100,7 +100,7 @@
 
 def test_whoever_is_asked_names_all_control_vms_that_it_knows():
     # Guards against: a follower is asked by a newcomer and keeps it to itself.
-    hint = keeper_of(a_follower()).asked(NEWCOMER, 1e9)
+    hint = make_manager(a_follower()).handle_join_request(NEWCOMER, 1e9)
     assert ("10.0.0.1", 7) in hint.control
     assert set(hint.control) >= {(each.host, 7) for each in GROUP.members}
 
@@ -108,10 +108,10 @@
 def test_a_newcomer_asks_whom_it_hears_of_without_a_pause():
     newcomer = a_newcomer()
     links = FakeLinks()
-    keeper = keeper_of(newcomer, links)
-    keeper.ask_to_join(newcomer.status(), 1e9)
-    keeper.heard_of([("10.0.0.1", 7)])
-    keeper.ask_to_join(newcomer.status(), 1e9 + 0.01)
+    manager = make_manager(newcomer, links)
+    manager.ask_to_join(newcomer.status(), 1e9)
+    manager.add_addresses([("10.0.0.1", 7)])
+    manager.ask_to_join(newcomer.status(), 1e9 + 0.01)
     assert links.asked[1] == {("10.0.0.1", 7)}
 
 
@@ -119,20 +119,20 @@
     # Guards against: a newcomer whose first seeds are all gone waits for ever.
     newcomer = a_newcomer()
     links = FakeLinks()
-    keeper = keeper_of(newcomer, links)
-    keeper.ask_to_join(newcomer.status(), 1e9)
-    keeper.reload(attrs.evolve(settings(), seeds=["10.0.0.7:8620"]))
-    keeper.ask_to_join(newcomer.status(), 1e9 + 0.01)
+    manager = make_manager(newcomer, links)
+    manager.ask_to_join(newcomer.status(), 1e9)
+    manager.reload(attrs.evolve(settings(), seeds=["10.0.0.7:8620"]))
+    manager.ask_to_join(newcomer.status(), 1e9 + 0.01)
     assert links.asked[1] == {("10.0.0.7", 7)}
 
 
 def test_a_vm_that_came_back_twice_is_known_by_its_newest_name_only():
     # Guards against: the name of a life before the last is added and removed in turn.
     leader = FakeConsensus("10.0.0.1:7", GROUP, "10.0.0.1:7", Role.LEADER)
-    keeper = keeper_of(leader)
-    keeper.asked(JoinGroup(f"{OWN}:7/older", OWN, 7), 1e9)
-    keeper.asked(NEWCOMER, 1e9 + 0.1)
-    asyncio.run(keeper.grow(leader.status(), 1e9 + 0.2))
+    manager = make_manager(leader)
+    manager.handle_join_request(JoinGroup(f"{OWN}:7/older", OWN, 7), 1e9)
+    manager.handle_join_request(NEWCOMER, 1e9 + 0.1)
+    asyncio.run(manager.make_due_change(leader.status(), 1e9 + 0.2))
     assert [step.member.name for step in leader.steps] == [NEWCOMER.name]
 
 
@@ -141,12 +141,12 @@
     # alone, counted from its start.
     leader = FakeConsensus("10.0.0.1:7", GROUP, "10.0.0.1:7", Role.LEADER)
     links = FakeLinks()
-    keeper = keeper_of(leader, links)
-    asyncio.run(keeper.grow(leader.status(), 100.0))
+    manager = make_manager(leader, links)
+    asyncio.run(manager.make_due_change(leader.status(), 100.0))
     deposed = attrs.evolve(leader.status(), role=Role.FOLLOWER, leader="")
-    keeper.ask_to_join(deposed, 100.0 + LONELY_S / 2)
+    manager.ask_to_join(deposed, 100.0 + LEADERLESS_TIMEOUT_S / 2)
     assert not links.asked
-    keeper.ask_to_join(deposed, 100.0 + LONELY_S)
+    manager.ask_to_join(deposed, 100.0 + LEADERLESS_TIMEOUT_S)
     assert len(links.asked) == 1
 
 
@@ -155,9 +155,9 @@
     control = FleetControl(settings(), Says(), None, None)
     newcomer = a_newcomer()
     links = FakeLinks()
-    control._keeper = keeper_of(newcomer, links)
+    control._membership_manager = make_manager(newcomer, links)
     lease = FleetLeaseSettings(heartbeat_s=0.2)
     control.reload(attrs.evolve(settings(), seeds=["10.0.0.7:8620"], lease=lease))
-    control._keeper.ask_to_join(newcomer.status(), 1e9)
+    control._membership_manager.ask_to_join(newcomer.status(), 1e9)
     assert links.asked == [{("10.0.0.7", 7)}]
     assert control._settings.lease == settings().lease
--- a/tests/fleet/test_group_repair_random.py
+++ b/tests/fleet/test_group_repair_random.py
@@ -17,20 +17,20 @@
 from tamarackhaven._settings import RaftSettings
 from tamarackhaven.errors import TamarackhavenError
 from tamarackhaven.fleet import _growth
-from tamarackhaven.fleet._group_keeper import GroupKeeper
+from tamarackhaven.fleet._group_keeper import MembershipManager
 from tamarackhaven.fleet._messages import JoinGroup
 from tamarackhaven.fleet._settings import FleetControlSettings
 from tests.raft_group import Disk, Group
 
 PORT = 7
 LOSSES = 2
-WANTED = _growth.voters_wanted(LOSSES)
+REQUIRED_VOTERS = _growth.count_required_voters(LOSSES)
 CATCH_UP_S = 4.0
 STEP_S = 0.05
 TURN_S = 0.1
 EVENTS = 6
 SEEDS = 3
-RAFT = RaftSettings(
+RAFT_SETTINGS = RaftSettings(
     heartbeat_ms=100,
     election_ms=500,
     first_election_ms=200,
@@ -53,7 +53,7 @@
         self.world = world
         self.host = host
         self.name = name
-        self.heard_s_by_name = {}
+        self.last_received_s_by_name = {}
         settings = FleetControlSettings(
             name=host,
             operators=f"{host}:8620",
@@ -62,7 +62,9 @@
             seeds=[f"{seed}:8620" for seed in seeds],
         )
         now = world.group.now
-        self.keeper = GroupKeeper(settings, WANTED, self, self, Silent(), now)
+        self.manager = MembershipManager(
+            settings, REQUIRED_VOTERS, self, self, Silent(), now
+        )
 
     @property
     def node(self):
@@ -85,7 +87,7 @@
         future.set_result(None)
         return future
 
-    def know(self, name, host, port):
+    def set_address(self, name, host, port):
         pass
 
     def ask_to_join(self, addresses):
@@ -93,8 +95,8 @@
         for host, _ in sorted(addresses):
             asked = self.world.vm_by_host.get(host)
             if asked is not None and self.world.is_reachable(self, asked):
-                hint = asked.keeper.asked(request, self.world.group.now)
-                self.keeper.heard_of(hint.control)
+                hint = asked.manager.handle_join_request(request, self.world.group.now)
+                self.manager.add_addresses(hint.control)
 
     def turn(self, loop):
         """Do what the process does every tenth of a second."""
@@ -102,23 +104,23 @@
         now = self.world.group.now
         if status.role is Role.LEADER:
             self._greet(status)
-            loop.run_until_complete(self.keeper.grow(status, now))
+            loop.run_until_complete(self.manager.make_due_change(status, now))
         else:
-            self.keeper.ask_to_join(status, now)
+            self.manager.ask_to_join(status, now)
 
     def _greet(self, status):
         """Tell whoever answers at a member's address who speaks."""
         for member in status.membership.members:
             greeted = self.world.vm_by_host.get(member.host)
             if greeted is not None and self.world.is_reachable(self, greeted):
-                greeted.keeper.heard_of([(self.host, PORT)])
+                greeted.manager.add_addresses([(self.host, PORT)])
 
 
 class World(Group):
     """Control VMs by host; messages to names that live nowhere are lost."""
 
     def __init__(self, seed):
-        super().__init__(seed=seed, settings=RAFT)
+        super().__init__(seed=seed, settings=RAFT_SETTINGS)
         self.group = self
         self.rng = random.Random(seed)
         self.loop = asyncio.new_event_loop()
@@ -126,7 +128,7 @@
         self.listed = []
         self.lives = 0
         self.vm_by_host = {}
-        founding = [self._new_host() for _ in range(WANTED)]
+        founding = [self._new_host() for _ in range(REQUIRED_VOTERS)]
         self.first = _growth.founders([(host, PORT) for host in founding])
         for host in founding:
             name = f"{host}:{PORT}"
@@ -145,7 +147,7 @@
         super().deliver(message, syncs)
         for vm in self.vm_by_host.values():
             if vm.name == message.receiver:
-                vm.heard_s_by_name[message.sender] = self.now
+                vm.last_received_s_by_name[message.sender] = self.now
 
     def pass_time(self, seconds):
         for _ in range(round(seconds / TURN_S)):
@@ -209,7 +211,7 @@
         assert leader is not None, "nobody leads"
         voters = set(self.nodes[leader].membership.voters)
         assert voters == {vm.name for vm in self.vm_by_host.values()}
-        assert len(voters) == WANTED
+        assert len(voters) == REQUIRED_VOTERS
 
 
 LOSS_BY_NAME = {
--- a/tests/fleet/test_growth.py
+++ b/tests/fleet/test_growth.py
@@ -8,20 +8,20 @@
 from tamarackhaven._raft_membership import changed
 from tamarackhaven.fleet._growth import (
     Newcomer,
+    count_required_voters,
     founders,
-    next_step,
-    voters_wanted,
+    next_change,
 )
 
 SEEDS = [("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)]
 
 
-def grow(membership, newcomers=(), silent=(), wanted=5, most=20):
+def apply_due_changes(membership, newcomers=(), silent=(), required_voters=5, most=20):
     """Carry out the changes that are due; return the membership and their actions."""
     actions = []
     for index in range(most):
         silent_s = {name: 99.0 * (name in silent) for name in membership.by_name}
-        due = next_step(membership, newcomers, silent_s, wanted)
+        due = next_change(membership, newcomers, silent_s, required_voters)
         if due is None:
             break
         membership = changed(membership, due.step, index + 1, True)
@@ -41,13 +41,17 @@
         assert founders(sorted(order)) == first
 
 
-@pytest.mark.parametrize(("losses", "wanted"), [(0, 3), (1, 3), (2, 5), (3, 7)])
-def test_the_tolerated_losses_decide_how_many_vote(losses, wanted):
-    assert voters_wanted(losses) == wanted
+@pytest.mark.parametrize(
+    ("losses", "required_voters"), [(0, 3), (1, 3), (2, 5), (3, 7)]
+)
+def test_the_tolerated_losses_decide_how_many_vote(losses, required_voters):
+    assert count_required_voters(losses) == required_voters
 
 
 def test_the_group_grows_one_at_a_time_to_the_voters_wanted():
-    grown, actions = grow(founders(SEEDS), [newcomer(4), newcomer(5), newcomer(6)])
+    grown, actions = apply_due_changes(
+        founders(SEEDS), [newcomer(4), newcomer(5), newcomer(6)]
+    )
     assert len(grown.voters) == 5
     assert len(grown.members) == 6, "the sixth stands ready without a vote"
     assert [action for action, _ in actions].count("promote") == 2
@@ -57,35 +61,35 @@
     # A VM loses its disk and asks to join from its old address under a new name. Its
     # old name can never vote again, but would count for every majority.
     back = newcomer(1, "10.0.0.1:7/new")
-    grown, actions = grow(founders(SEEDS), [back], wanted=3)
+    grown, actions = apply_due_changes(founders(SEEDS), [back], required_voters=3)
     assert "10.0.0.1:7" not in grown.by_name
     assert "10.0.0.1:7/new" in grown.voters
     assert actions[0] == ("remove", "10.0.0.1:7")
 
 
 def test_a_member_gone_for_good_is_replaced_by_one_that_stands_ready():
-    five, _ = grow(founders(SEEDS), [newcomer(4), newcomer(5)])
-    replaced, actions = grow(five, [newcomer(6)], silent={"10.0.0.2:7"})
+    five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
+    replaced, actions = apply_due_changes(five, [newcomer(6)], silent={"10.0.0.2:7"})
     assert "10.0.0.2:7" not in replaced.by_name
     assert len(replaced.voters) == 5
     assert actions[-1] == ("promote", "10.0.0.6:7/x")
 
 
 def test_a_silent_member_stays_if_nobody_could_replace_it():
-    five, _ = grow(founders(SEEDS), [newcomer(4), newcomer(5)])
-    same, actions = grow(five, silent={"10.0.0.2:7"})
+    five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
+    same, actions = apply_due_changes(five, silent={"10.0.0.2:7"})
     assert same == five and not actions
 
 
 def test_two_lost_at_once_are_replaced_without_a_majority_of_the_lost():
-    five, _ = grow(founders(SEEDS), [newcomer(4), newcomer(5)])
+    five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
     lost = {"10.0.0.1:7", "10.0.0.2:7"}
     back = [newcomer(1, "10.0.0.1:7/new"), newcomer(2, "10.0.0.2:7/new")]
     present = set(five.by_name) - lost
     membership = five
     for index in range(20):
         silent_s = {name: 99.0 * (name in lost) for name in membership.by_name}
-        due = next_step(membership, back, silent_s, 5)
+        due = next_change(membership, back, silent_s, 5)
         if due is None:
             break
         membership = changed(membership, due.step, index + 1, True)
@@ -98,5 +102,5 @@
 def test_a_learner_that_never_came_is_forgotten():
     learner = Member("late", "10.0.0.9", 7, 0, voter=False)
     membership = Membership((*founders(SEEDS).members, learner))
-    tidy, actions = grow(membership, silent={"late"}, wanted=3)
+    tidy, actions = apply_due_changes(membership, silent={"late"}, required_voters=3)
     assert actions == [("remove", "late")]
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -12,17 +12,21 @@
     return placement.first_ranges(dict.fromkeys(lives, 100.0))
 
 
-def shares_of(ranges, power_by_life, rate_by_bucket, rest=0.0):
-    weights = placement.KeyWeights(rate_by_bucket, rest, sum(power_by_life.values()))
-    return placement.Shares(ranges, power_by_life, weights)
+def utilization_of(ranges, capacity_by_life, rate_by_bucket, other_rate=0.0):
+    weights = placement.KeyWeights(
+        rate_by_bucket, other_rate, sum(capacity_by_life.values())
+    )
+    return placement.Utilization(ranges, capacity_by_life, weights)
 
 
-def settle(ranges, power_by_life, rate_by_bucket, rest=0.0, rounds=30):
+def settle(ranges, capacity_by_life, rate_by_bucket, other_rate=0.0, rounds=30):
     """Balance until nothing moves; return the ranges and the number of rounds."""
     ranges = tuple(ranges)
     for count in range(rounds):
-        shares = shares_of(ranges, power_by_life, rate_by_bucket, rest)
-        moves = placement.balance(ranges, shares, 4)
+        utilization = utilization_of(
+            ranges, capacity_by_life, rate_by_bucket, other_rate
+        )
+        moves = placement.balance(ranges, utilization, 4)
         if not moves:
             return ranges, count
         new = [attrs.evolve(m.old, owner=m.to_life, fence=count + 1) for m in moves]
@@ -31,9 +35,9 @@
     raise AssertionError("never settles")
 
 
-def uses(ranges, power_by_life, rate_by_bucket, rest=0.0):
-    shares = shares_of(ranges, power_by_life, rate_by_bucket, rest)
-    return {life: shares.use(life) for life in power_by_life}
+def utilization_by_life(ranges, capacity_by_life, rate_by_bucket, other_rate=0.0):
+    utilization = utilization_of(ranges, capacity_by_life, rate_by_bucket, other_rate)
+    return {life: utilization.of(life) for life in capacity_by_life}
 
 
 def test_first_ranges_cover_all_keys_by_power():
@@ -46,12 +50,12 @@
 def test_a_hot_run_of_keys_is_split_among_all():
     # Two hundred neighbouring keys get most of the traffic. Whole, they make one
     # target's queue overflow while the others idle.
-    power = dict.fromkeys("abcd", 50.0)
+    capacity = dict.fromkeys("abcd", 50.0)
     hot = {1000 + number: 9.0 for number in range(200 // BUCKET_KEYS)}
-    before = uses(spread(*"abcd"), power, hot)
+    before = utilization_by_life(spread(*"abcd"), capacity, hot)
     assert max(before.values()) > 2
-    ranges, rounds = settle(spread(*"abcd"), power, hot)
-    after = uses(ranges, power, hot)
+    ranges, rounds = settle(spread(*"abcd"), capacity, hot)
+    after = utilization_by_life(ranges, capacity, hot)
     assert max(after.values()) < 1.0
     assert rounds < 10
 
@@ -59,67 +63,67 @@
 def test_one_hot_bucket_is_not_passed_around():
     # A single key that is too hot for anybody: wherever it is, that target is full.
     # Moved from one to the next it would be unserved each time for nothing.
-    power = dict.fromkeys("ab", 50.0)
-    settle(spread("a", "b"), power, {77: 80.0})
+    capacity = dict.fromkeys("ab", 50.0)
+    settle(spread("a", "b"), capacity, {77: 80.0})
 
 
 def test_balanced_load_moves_nothing():
-    power = dict.fromkeys("abc", 100.0)
-    shares = shares_of(spread(*"abc"), power, {}, rest=120.0)
-    assert placement.balance(spread(*"abc"), shares, 4) == []
+    capacity = dict.fromkeys("abc", 100.0)
+    utilization = utilization_of(spread(*"abc"), capacity, {}, other_rate=120.0)
+    assert placement.balance(spread(*"abc"), utilization, 4) == []
 
 
 def test_targets_with_room_keep_their_keys():
     # Demand varies by chance. Moved about for it, keys are unserved for a heartbeat
     # each time, and nobody is faster for it.
-    power = dict.fromkeys("ab", 100.0)
-    shares = shares_of(spread("a", "b"), power, {3: 30.0})
-    assert shares.use("a") > shares.use("b") + 0.2
-    assert placement.balance(spread("a", "b"), shares, 4) == []
+    capacity = dict.fromkeys("ab", 100.0)
+    utilization = utilization_of(spread("a", "b"), capacity, {3: 30.0})
+    assert utilization.of("a") > utilization.of("b") + 0.2
+    assert placement.balance(spread("a", "b"), utilization, 4) == []
 
 
 def test_a_target_that_joins_gets_its_part():
-    power = dict.fromkeys("abc", 100.0)
-    ranges, _ = settle(spread("a", "b"), power, {}, rest=90.0)
+    capacity = dict.fromkeys("abc", 100.0)
+    ranges, _ = settle(spread("a", "b"), capacity, {}, other_rate=90.0)
     joined = sum(r.last - r.first + 1 for r in ranges if r.owner == "c")
     assert joined > 0.5 * KEY_COUNT / 3
 
 
 def test_a_slow_target_gives_keys_away():
-    power = {"a": 100.0, "b": 20.0}
-    ranges, _ = settle(spread("a", "b"), power, {}, rest=60.0)
-    after = uses(ranges, power, {}, 60.0)
+    capacity = {"a": 100.0, "b": 20.0}
+    ranges, _ = settle(spread("a", "b"), capacity, {}, other_rate=60.0)
+    after = utilization_by_life(ranges, capacity, {}, 60.0)
     assert after["b"] < 1.6 * after["a"]
 
 
 def test_ownerless_ranges_go_where_there_is_most_room():
     ranges = [KeyRange(0, 99, 1, "a"), KeyRange(100, 199, 1, "gone")]
-    shares = shares_of(ranges, {"a": 10.0, "b": 10.0}, {})
-    (new,) = placement.share_out([ranges[1]], shares)
+    utilization = utilization_of(ranges, {"a": 10.0, "b": 10.0}, {})
+    (new,) = placement.assign_unowned([ranges[1]], utilization)
     assert new.owner == "b" and new.handover == ""
 
 
 def test_no_owner_gets_more_ranges_than_a_heartbeat_can_tell():
     many = [
         KeyRange(n * 100, n * 100 + 99, n, "ab"[n % 2])
-        for n in range(2 * placement.MOST_RANGES_PER_TARGET)
+        for n in range(2 * placement.MAX_RANGES_PER_TARGET)
     ]
-    shares = shares_of(many, {"a": 10.0, "b": 10.0, "c": 1.0}, {})
-    assert shares.least() == "c"
+    utilization = utilization_of(many, {"a": 10.0, "b": 10.0, "c": 1.0}, {})
+    assert utilization.least() == "c"
 
 
 def test_one_key_that_is_too_hot_does_not_hold_up_the_others():
     # One key is too hot for any target, and its owner has nothing else to give. The
     # second most used target's keys must move all the same.
-    power = dict.fromkeys("abc", 50.0)
+    capacity = dict.fromkeys("abc", 50.0)
     ranges = (
         KeyRange(0, BUCKET_KEYS - 1, owner="a"),
         KeyRange(BUCKET_KEYS, KEY_COUNT // 2, owner="b"),
         KeyRange(KEY_COUNT // 2 + 1, KEY_COUNT - 1, owner="c"),
     )
     hot = {0: 500.0, **dict.fromkeys(range(10, 20), 8.0)}
-    ranges, _ = settle(ranges, power, hot)
-    after = uses(ranges, power, hot)
+    ranges, _ = settle(ranges, capacity, hot)
+    after = utilization_by_life(ranges, capacity, hot)
     assert after["b"] < 1.5
     assert after["c"] < 1.5
     assert after["a"] > 9
--- a/tests/fleet/test_sessions.py
+++ b/tests/fleet/test_sessions.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from tamarackhaven.fleet._feed import Feed
+from tamarackhaven.fleet._feed import UpdateCache
 from tamarackhaven.fleet._messages import CONTROL_CODEC
 from tamarackhaven.fleet._model import KEY_COUNT, KeyRange
-from tamarackhaven.fleet._sessions import MOST_UNCONFIRMED_BYTES, Session
+from tamarackhaven.fleet._sessions import MAX_UNACKNOWLEDGED_BYTES, Session
 from tamarackhaven.fleet._state import (
-    FORMER_KEPT,
+    MAX_FORMER_VALUES,
     AssignKeys,
     EditConfiguration,
     FleetState,
@@ -143,7 +143,7 @@
     def test(state, view, link, session):
         whole = link.bytes
         changed_by(state, 3)
-        Session("d", link, Feed(), view.known()).catch_up(state)
+        Session("d", link, UpdateCache(), view.known()).catch_up(state)
         assert link.bytes - whole < 200
         assert view.table.configuration.version == 4
         assert view.table.configuration.route_by_name == (
@@ -157,8 +157,8 @@
     # So many changes passed that the leader has no state from which to lead on.
     def test(state, view, link, session):
         known = view.known()
-        changed_by(state, FORMER_KEPT + 1)
-        Session("d", link, Feed(), known).catch_up(state)
+        changed_by(state, MAX_FORMER_VALUES + 1)
+        Session("d", link, UpdateCache(), known).catch_up(state)
         assert view.table.configuration.route_by_name == (
             state.configuration.route_by_name
         )
@@ -177,9 +177,9 @@
             def send(self, message):
                 self.sent.append(message)
 
-        feed = Feed()
+        update_cache = UpdateCache()
         links = [Kept(), Kept()]
-        sessions = [Session("d", each, feed) for each in links]
+        sessions = [Session("d", each, update_cache) for each in links]
         for number in range(2):
             for each in sessions:
                 each.catch_up(state)
@@ -251,11 +251,11 @@
         link = session.link = HeldUp(view)
         for index in range(2, 302):
             reassign(state, index)
-            session.send_news(state)
+            session.send_updates(state)
         state.apply(302, EditConfiguration(1, Edit(2, removed_routes=("r8",)), "e"))
-        session.send_news(state)
+        session.send_updates(state)
         before = sum(len(CONTROL_CODEC.pack(each)) for each in link.held[:-1])
-        assert before < 2 * MOST_UNCONFIRMED_BYTES
+        assert before < 2 * MAX_UNACKNOWLEDGED_BYTES
         link.let_go()
         assert view.table.configuration.version == 2
 
@@ -268,10 +268,10 @@
         link = session.link = HeldUp(view)
         for index in range(2, 102):
             reassign(state, index)
-            session.send_news(state)
+            session.send_updates(state)
         link.let_go()
-        session.confirmed(view.state_index)
-        session.send_news(state)
+        session.acknowledge(view.state_index)
+        session.send_updates(state)
         link.let_go()
         assert view._keys_by_service["s"].ranges == state.ranges_by_service["s"]
 
