--- a/tamarackhaven/fleet/__init__.py
+++ b/tamarackhaven/fleet/__init__.py
@@ -1,7 +1,7 @@
-"""The control group of a fleet of daemons that each sit beside one target.
+"""The control group of a fleet of daemons, each of which serves one target.
 
-``tamarackhaven.fleet.control_vm`` holds the process of a control VM; it is apart, so
-that a daemon doesn't load consensus and storage.
+``tamarackhaven.fleet.control_vm`` contains the process of a control VM. It's a separate
+module so that a daemon doesn't load consensus and storage.
 """
 
 from tamarackhaven.fleet._model import Hold, KeyRange, Release, TargetPhase
--- a/tamarackhaven/fleet/_addresses.py
+++ b/tamarackhaven/fleet/_addresses.py
@@ -1,14 +1,14 @@
-"""Addresses of control VMs that a process has heard of, the newest ones. Pure."""
+"""The control VM addresses that a process received most recently. Pure."""
 
 import collections
 
-# Load: control VMs that are replaced for months. Harm: each address that is long gone
-# is dialled at every search. Limit: some generations of the largest group.
+# When control VMs are replaced over months, every outdated address would be dialled in
+# each search. This holds some generations of the largest group.
 MAX_ADDRESSES = 64
 
 
 class HeardAddresses:
-    """The addresses last heard of, as pairs of host and port."""
+    """The most recently received addresses, as pairs of host and port."""
 
     def __init__(self):
         self._addresses = collections.OrderedDict()
@@ -17,7 +17,7 @@
         return iter(self._addresses)
 
     def add(self, addresses):
-        """Note addresses; the ones heard of longest ago give way."""
+        """Add addresses; the least recently received are dropped at the limit."""
         for host, port in addresses:
             self._addresses[host, port] = None
             self._addresses.move_to_end((host, port))
--- a/tamarackhaven/fleet/_control.py
+++ b/tamarackhaven/fleet/_control.py
@@ -1,4 +1,4 @@
-"""One control VM of a fleet: consensus, orders of operators, daemons' leases."""
+"""One control VM of a fleet: consensus, operators' orders, and daemons' leases."""
 
 import asyncio
 import functools
@@ -34,22 +34,30 @@
 from tamarackhaven.fleet._state import encode
 from tamarackhaven.net import LinkServer, listen
 
-# Heartbeats cross zones in a millisecond; a leader is missed after five of them.
+# Heartbeats cross zones in a millisecond. Followers start an election after a leader
+# has missed five of them.
 RAFT_SETTINGS = RaftSettings(heartbeat_ms=100, election_ms=500, first_election_ms=200)
-# The leader looks at targets, keys and members so often.
+# Interval of the checks for due changes of targets, keys and members.
 TICK_INTERVAL_S = 0.1
-# An order waits so long for the voters that the tolerated losses need. After that the
-# group accepts with those that there are: a control VM may be missing for good.
+# After the start, orders are refused for this long while there are fewer voters than
+# the tolerated losses need. Then they're accepted with fewer voters, since a control VM
+# may be missing permanently.
 FOUNDING_TIMEOUT_S = 20.0
 READ_TIMEOUT_S = 1.0
-# Load: releases that come one by one, from many daemons at once. Harm: a look at all
-# targets and keys for each fills the leader's processor. Limit: a small part of the
-# time in which keys move.
+# Releases arrive one by one from many daemons, and checking all targets and keys for
+# each would saturate the leader's CPU. The delay is short compared with the time that
+# moving keys takes.
 MIN_DECISION_INTERVAL_S = 0.02
 
 
 class NotLeading(Exception):
-    """Another control VM leads: the one at ``host``, None if it is not known."""
+    """Raised when this control VM doesn't lead.
+
+    Parameters
+    ----------
+    host : str or None
+        Host of the leading control VM, None if it isn't known.
+    """
 
     def __init__(self, host):
         super().__init__(host)
@@ -57,10 +65,10 @@
 
 
 class FleetControl:
-    """The control VM's process; everything here runs on one event loop.
+    """A control VM's process, running on one event loop.
 
-    Consensus and its disk have a thread of their own, so that a slow disk delays no
-    answer that needs no disk.
+    Consensus and its disk use a separate thread, so that a slow disk delays no answer
+    that doesn't need it.
 
     Parameters
     ----------
@@ -71,11 +79,11 @@
     metrics : Metrics
         Of the process.
     on_fatal : callable
-        ``on_fatal(error)`` on any thread once this member can't go on.
+        ``on_fatal(error)``, called on any thread once this member can't continue.
     """
 
     def __init__(self, settings, log, metrics, on_fatal):
-        # The file's newest; what this process was built with stays in ``_settings``.
+        # As last read from the file; ``_settings`` stays as the process was started.
         self.settings = settings
         self._settings = settings
         self._log = log
@@ -106,12 +114,12 @@
     # Start and stop.
 
     async def start(self):
-        """Start the member and listen.
+        """Start the consensus member and listen for links.
 
         Raises
         ------
         TamarackhavenError
-            PORT_TAKEN, or errors of the storage.
+            PORT_TAKEN, or an error of the storage.
         """
         self._loop = asyncio.get_running_loop()
         storage = Storage.open(Path(self._settings.data_folder) / "group")
@@ -150,20 +158,20 @@
         )
 
     def _identity(self, storage):
-        """Return this member's name and the membership that it starts from."""
+        """Return this member's name and the membership that it starts with."""
         if not storage.is_new:
             return storage.identity.name, Membership(())
         seeds = [(split(seed)[0], self._port) for seed in self._settings.seeds]
         own = (self._host, self._port)
         if self._settings.is_first_start and own in seeds:
             return f"{self._host}:{self._port}", _growth.founders(sorted(seeds))
-        # Failure: a VM lost its disk and comes back under its name. Symptom: it votes
-        # twice in a term, and an acknowledged change is gone. Enough: an empty disk
-        # gets a name that never voted.
+        # A VM that lost its disk and rejoined under its old name might vote twice in a
+        # term, which could lose an acknowledged change. So an empty disk gets a random
+        # name that has never voted.
         return f"{self._host}:{self._port}/{os.urandom(6).hex()}", Membership(())
 
     def reload(self, settings):
-        """Take the seeds, the only setting that may change while the process runs."""
+        """Apply new seeds, the only setting that may change at run time."""
         self.settings = settings
         self._membership_manager.reload(settings)
         self._log.say("settings reloaded", seeds=settings.seeds)
@@ -207,11 +215,11 @@
 
     @property
     def leads(self):
-        """Whether this member leads and has confirmed it once in this term.
+        """Whether this member leads and has confirmed that once in this term.
 
-        Failure: it loses the lead and wins it again before it has looked. Symptom: it
-        grants and moves keys by the leases of its former term, although another leader
-        has granted since. Enough: what was decided for a term counts in that term.
+        A member that loses and regains leadership between two checks must not grant or
+        move keys by the leases of its former term, because another leader may have
+        granted keys since. So a ``Leadership`` is valid only in its own term.
         """
         if self._leadership is None:
             return False
@@ -284,7 +292,7 @@
                 ErrorKind.NO_QUORUM, "no quorum answered in time", 0.2
             ) from error
 
-    # News for daemons.
+    # Updates for daemons.
 
     def _send_state_updates(self):
         if not self._session_by_link:
@@ -311,7 +319,7 @@
         for session in self._session_by_link.values():
             session.link.send(packed)
 
-    # The leader's duties.
+    # Periodic work.
 
     async def _run_ticks(self):
         while True:
@@ -319,7 +327,7 @@
             try:
                 await self._tick()
             except Exception as error:
-                # A bug in one duty must not stop the others for good.
+                # A bug in one task must not stop the others permanently.
                 self._log.say("duty failed", error=repr(error))
 
     async def _tick(self):
@@ -371,7 +379,10 @@
         self._log.say("leads", term=term)
 
     def _schedule_decision(self):
-        """Decide now, or once the shortest pause since the last time is over."""
+        """Decide as soon as ``MIN_DECISION_INTERVAL_S`` has passed since the last time.
+
+        Later calls until then have no further effect.
+        """
         if self._decision_timer is None:
             wait_s = max(
                 self._last_decision_s + MIN_DECISION_INTERVAL_S - boot_s(), 0.0
@@ -398,12 +409,12 @@
         )
 
     def _on_proposal_done(self, leadership, command, future):
-        """Note what became of a change; on the member's thread."""
+        """Pass a proposal's outcome to the event loop; runs on the member's thread."""
         error = future.exception()
         if error is None:
             is_void = future.result().kind is not None
         else:
-            # One that may still commit stays undecided for the rest of the term.
+            # A change that may still commit stays open for the rest of the term.
             kind = getattr(error, "kind", ErrorKind.INTERNAL)
             is_void = kind is not ErrorKind.CHANGE_UNCONFIRMED
         self._loop.call_soon_threadsafe(
@@ -415,17 +426,18 @@
             leadership.not_taken(command)
         self._schedule_decision()
 
-    # Orders of operators.
+    # Operators' orders.
 
     async def order(self, command):
-        """Carry out an operator's command; return its ``Outcome``.
+        """Commit and apply an operator's command; return its ``Outcome``.
 
         Raises
         ------
         NotLeading
             Another control VM leads, or none does.
         TamarackhavenError
-            NO_QUORUM if it was not accepted; CHANGE_UNCONFIRMED if it may be.
+            NO_QUORUM if the command was not accepted; CHANGE_UNCONFIRMED if it may
+            have been.
         """
         self._require_leadership()
         self._require_voters()
@@ -446,11 +458,15 @@
         raise NotLeading(leader.host if is_other else None)
 
     def _require_voters(self):
-        """Accept nothing that the tolerated losses could take away again.
+        """Refuse orders that the tolerated losses of disks could undo.
+
+        A change accepted by three voters is gone if two of them lose their disks. With
+        all required voters, a majority keeps it on one disk more than may be lost.
 
-        Failure: a change is accepted by three voters and two of them lose their
-        disks. Symptom: it is gone. Enough: with all the voters wanted, a majority
-        keeps it on one disk more than may be lost.
+        Raises
+        ------
+        TamarackhavenError
+            NO_QUORUM if there are too few voters.
         """
         if self._is_founded:
             return
@@ -461,7 +477,9 @@
         has_too_few = voters < self._required_voters and not self._is_founded
         if has_too_few and waited_s < FOUNDING_TIMEOUT_S:
             raise TamarackhavenError(
-                ErrorKind.NO_QUORUM, f"{voters} of {self._required_voters} voters", 0.2
+                ErrorKind.NO_QUORUM,
+                f"{voters} of {self._required_voters} voters",
+                0.2,
             )
         self._is_founded = True
 
@@ -473,7 +491,7 @@
         NotLeading
             Another control VM leads, or none does.
         TamarackhavenError
-            NO_QUORUM if that can't be confirmed.
+            NO_QUORUM if no quorum confirms that this member leads.
         """
         self._require_leadership()
         await self._read()
--- a/tamarackhaven/fleet/_feed.py
+++ b/tamarackhaven/fleet/_feed.py
@@ -1,10 +1,11 @@
-"""News of the replicated state for daemons, made once for all that need the same. Pure.
-
-Load: a change with hundreds of routes, or a new leader, with many daemons on small
-links. Harm: made anew for each daemon, the news holds the leader up for so long that
-it is deposed, and whole configurations fill the links until the daemons give their
-sessions up, look for the leader again and are sent the same once more. Limit: each
-difference is made and packed once, and a daemon is sent what it lacks.
+"""Updates of the replicated state for daemons, built once and cached. Pure.
+
+Each difference is built and packed once, and a daemon is sent only what it lacks.
+Otherwise, with many daemons on slow links, a change with hundreds of routes or a new
+leader would overload the group in two ways. Building the update for each daemon would
+block the leader for so long that it's deposed. And whole configurations would fill the
+links until the daemons drop their sessions, look for the leader again, and are sent the
+same once more.
 """
 
 import collections
@@ -18,25 +19,25 @@
 )
 from tamarackhaven.routing import bare, difference
 
-# Daemons are at one of the last few states; others get the whole.
+# Most daemons have one of the last few states; others are sent the whole.
 MAX_CACHED_UPDATES = 64
 
 
 class UpdateCache:
-    """Packed messages, by the part and the indexes between which they lead."""
+    """Packed updates, by the part of the state and its old and new log index."""
 
     def __init__(self):
         self._packed_by_step = collections.OrderedDict()
 
     def configuration(self, state, since):
-        """Return what leads from the configuration of index ``since`` to the present.
+        """Return the update from the configuration at ``since`` to the present one.
 
         Parameters
         ----------
         state : FleetState
             The present one.
         since : int
-            -1 if nothing is known.
+            Log index of the daemon's configuration, -1 if it has none.
         """
         index = state.configuration_index
         old = state.configuration_at(since)
@@ -47,12 +48,12 @@
             edit = difference(old, state.configuration)
             return ConfigurationChange(index, bare(edit))
 
-        # Without the old state the whole is sent, whatever the daemon has.
+        # Without the old state, the whole is sent, so all such daemons share an entry.
         since = -1 if old is None else since
         return self._packed(("configuration", since, index), make)
 
     def zones(self, state):
-        """Return the zones that are out."""
+        """Return the update with all zones that are out."""
         index = state.zones_index
 
         def make():
@@ -61,7 +62,7 @@
         return self._packed(("zones", -1, index), make)
 
     def keys(self, state, service, since):
-        """Return what leads from the owners of index ``since`` to the present ones."""
+        """Return the update from a service's owners at ``since`` to the present."""
         index = state.index_by_service[service]
         old = state.ranges_at(service, since)
 
--- a/tamarackhaven/fleet/_group_keeper.py
+++ b/tamarackhaven/fleet/_group_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the control group at the members it should have: joins, grows, replaces."""
+"""Joins a control group, and adds, promotes and removes its members."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 from tamarackhaven.fleet._messages import GroupHint
 from tamarackhaven.fleet._settings import split
 
-# A request to join counts for some more pauses: one may be lost.
+# A request to join stays valid for several request intervals, as one may be lost.
 JOIN_REQUEST_TTL_S = 4 * JOIN_REQUEST_INTERVAL_S
-# A membership change is one commit; longer means that the quorum is gone.
+# A membership change is a single commit; one that takes longer has lost its quorum.
 MEMBERSHIP_CHANGE_TIMEOUT_S = 1.0
 
 
 class MembershipManager:
-    """One control VM's part in the group's membership.
+    """Requests membership for one control VM, and as leader changes the membership.
 
     Parameters
     ----------
@@ -24,9 +24,9 @@
     required_voters : int
         Voters that the group should have.
     consensus : Consensus
-        The member.
+        This VM's member.
     links : GroupLinks
-        To the other members.
+        To the other control VMs.
     log : Log
         Of the part ``control``.
     now : float
@@ -46,21 +46,21 @@
 
     @property
     def addresses(self):
-        """Known addresses of the other control VMs, in no order."""
+        """Known link addresses of the other control VMs, in no order."""
         membership = self._consensus.status().membership
         return tuple(self._search.addresses(membership, self._seeds()))
 
     def reload(self, settings):
-        """Take the settings that may change while the process runs."""
+        """Apply the settings that may change at run time."""
         self._settings = settings
 
     def _seeds(self):
         return [(split(seed)[0], self._port) for seed in self._settings.seeds]
 
-    # A member that is asked, and one that leads.
+    # As a member or the leader.
 
     def handle_join_request(self, request, now):
-        """Note a ``JoinGroup`` of another control VM; return its ``GroupHint``."""
+        """Record a ``JoinGroup`` of another control VM; return its ``GroupHint``."""
         status = self._consensus.status()
         self._log.say(
             "asked to join",
@@ -78,7 +78,7 @@
         return GroupHint(self.addresses)
 
     def _remove_expired_newcomers(self, now):
-        """Forget those that ask no more; they may be gone."""
+        """Remove those whose last request is older than ``JOIN_REQUEST_TTL_S``."""
         self._request_by_address = {
             address: (newcomer, requested_s)
             for address, (newcomer, requested_s) in self._request_by_address.items()
@@ -86,7 +86,7 @@
         }
 
     async def make_due_change(self, status, now):
-        """Carry out the membership change that is due, if any."""
+        """Make the membership change that is due, if any; for the leader only."""
         self._search.record_leader(now)
         self._remove_expired_newcomers(now)
         due = _growth.next_change(
@@ -126,14 +126,14 @@
             return
         self._log.say("membership changed", **log_fields)
 
-    # One without a group.
+    # Outside the group.
 
     def add_addresses(self, addresses):
-        """Note where other control VMs take links."""
+        """Add link addresses of other control VMs, pairs of host and port."""
         self._search.add_addresses(addresses)
 
     def ask_to_join(self, status, now):
-        """Ask all known control VMs to be let in, if this one is out of the group."""
+        """Ask all known control VMs for membership, if this one has no group."""
         addresses = self._search.addresses_to_ask(status, self._seeds(), now)
         if not addresses:
             return
--- a/tamarackhaven/fleet/_group_links.py
+++ b/tamarackhaven/fleet/_group_links.py
@@ -14,23 +14,23 @@
 from tamarackhaven.net import dial
 
 REDIAL_INTERVAL_S = 0.15
-# Consensus sends heartbeats many times a second: a link on which nothing comes back
-# for so long has gone silent without a reset.
+# Consensus sends heartbeats many times a second, so a link on which nothing is received
+# for this long has failed without a reset.
 LINK_SILENCE_TIMEOUT_S = 1.0
-# Load: a member that is cut off. Harm: what waits for it fills the memory. Limit: some
-# seconds of heartbeats; consensus repeats what matters.
+# Messages for an unreachable member would otherwise fill the memory. This holds some
+# seconds of heartbeats; consensus repeats lost messages.
 MAX_QUEUED_MESSAGES = 128
 
 
 class GroupLinks:
-    """Sends to other control VMs; each has one outgoing link.
+    """Outgoing links to other control VMs, one for each.
 
     Parameters
     ----------
     hello : MemberHello
-        Who this VM is.
+        Identifies this VM.
     on_hint : callable
-        ``on_hint(hint)`` for each ``GroupHint`` that comes back.
+        ``on_hint(hint)``, called for each ``GroupHint`` received.
     """
 
     def __init__(self, hello, on_hint):
@@ -41,11 +41,11 @@
         self.last_received_s_by_name = {}
 
     def set_address(self, name, host, port):
-        """Note where a member takes links."""
+        """Set the link address of a member."""
         self._address_by_name[name] = (host, port)
 
     def send(self, messages):
-        """Send consensus messages to their receivers, as far as they are known."""
+        """Send consensus messages; drop those for members without a known address."""
         batch_by_name = {}
         for message in messages:
             packed = to_wire(message).SerializeToString()
@@ -62,7 +62,13 @@
             self._outgoing(address).send(request)
 
     def receive(self, messages):
-        """Note who was heard, and return the messages."""
+        """Unpack consensus messages, and record when their senders were last heard.
+
+        Parameters
+        ----------
+        messages : iterable of bytes
+            As received in a ``ConsensusBatch``.
+        """
         unpacked = [
             from_wire(_wire_pb2.RaftMessage.FromString(each)) for each in messages
         ]
@@ -85,7 +91,7 @@
 
 
 class _Outgoing:
-    """A link that is dialled again when it is needed."""
+    """A link that is reconnected when it's needed."""
 
     def __init__(self, address, hello, on_hint):
         self._address = address
@@ -97,7 +103,7 @@
         self._is_closed = False
 
     def send(self, message):
-        """Send now, or once the link stands."""
+        """Send now, or once the link is connected."""
         if self._link is not None and self._link.is_open:
             self._link.send(message)
             self._link.probe(boot_s(), LINK_SILENCE_TIMEOUT_S)
@@ -118,7 +124,7 @@
                         self._on_closed,
                     )
                 except OSError:
-                    # What waited meanwhile is out of date; newer messages follow.
+                    # The queued messages are outdated; newer ones follow.
                     self._queued.clear()
                     await asyncio.sleep(REDIAL_INTERVAL_S)
                     continue
--- a/tamarackhaven/fleet/_growth.py
+++ b/tamarackhaven/fleet/_growth.py
@@ -1,33 +1,33 @@
-"""Which change of the control group's members is due next. Pure.
+"""Decides which membership change of the control group is due next. Pure.
 
-The group founds itself from a few addresses that all are told, grows to the voters
-that the tolerated losses need, and replaces members that are gone for good.
+The group starts from a few configured addresses, grows to the number of voters that the
+tolerated losses need, and replaces members that are permanently gone.
 """
 
 import attrs
 
 from tamarackhaven._members import Member, Membership, Step
 
-# A voter that is silent for so long is replaced, if another member stands ready. A
-# frozen one that comes back later joins again; a shorter time would replace members
-# over a slow disk, a longer one leaves the group a loss short.
+# A voter that is silent for longer is replaced if a learner is available. A frozen one
+# that resumes later joins again. A shorter time would replace members because of a slow
+# disk; with a longer one the group would tolerate one loss less in the meantime.
 SILENT_VOTER_TIMEOUT_S = 2.0
-# A learner that never catches up is forgotten, so that the list stays short.
+# A learner that is silent for longer is removed, which bounds the list of members.
 SILENT_LEARNER_TIMEOUT_S = 15.0
 MIN_VOTERS = 3
 
 
 def count_required_voters(tolerated_losses):
-    """Return how many voters bear the loss of ``tolerated_losses`` at once."""
+    """Return how many voters are needed to survive ``tolerated_losses`` at once."""
     return max(2 * tolerated_losses + 1, MIN_VOTERS)
 
 
 def founders(addresses):
-    """Return the membership that all founders start from, whoever starts first.
+    """Return the first membership of a group, the same for all its founders.
 
-    Failure: the members that found the group start from different lists. Symptom: two
-    groups, each with a leader. Enough: all are told the same addresses at the first
-    start, names follow from addresses, and nobody else founds.
+    Founders that started with different memberships would form two groups, each with a
+    leader. All founders are configured with the same addresses at the first start, a
+    member's name is derived from its address, and no other VM may found a group.
     """
     return Membership(
         tuple(Member(f"{host}:{port}", host, port, 0) for host, port in addresses)
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Newcomer:
-    """A control VM that asked to join, under a name no other disk ever had."""
+    """A control VM that asked to join, under a name never used with another disk."""
 
     name: str
     host: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class DueChange:
-    """A membership change and why it is made."""
+    """A membership change and the reason for it."""
 
     step: Step
     cause: str
@@ -59,9 +59,9 @@
     membership : Membership
         The one in effect.
     newcomers : iterable of Newcomer
-        Who asked of late.
+        Control VMs that asked to join recently.
     silent_s_by_name : dict of str to float
-        For how many seconds each member was not heard; 0 for the leader itself.
+        Seconds since the last message of each member; 0 for the leader itself.
     required_voters : int
         Voters that the group should have.
     """
@@ -94,8 +94,8 @@
         return None
     for member in membership.members:
         if (member.host, member.port) == (newcomer.host, newcomer.port):
-            # Its disk is gone: another process answers at its address under a new
-            # name. It would never vote again, but count for every majority.
+            # The member's disk is lost: another process uses its address under a new
+            # name. The old name can't vote any more, but counts for every majority.
             return DueChange(
                 Step("remove", member), "its VM came back with an empty disk"
             )
--- a/tamarackhaven/fleet/_joining.py
+++ b/tamarackhaven/fleet/_joining.py
@@ -1,26 +1,26 @@
-"""Which control VMs one without a group asks to be let in, and when. Pure."""
+"""Decides which control VMs to ask for membership in the group, and when. Pure."""
 
 from tamarackhaven.fleet._addresses import HeardAddresses
 
-# Without a leader for so long, a member asks the others to be let in again.
+# A member without a leader for this long asks the others for membership again.
 LEADERLESS_TIMEOUT_S = 1.0
 JOIN_REQUEST_INTERVAL_S = 0.5
 
 
 class GroupSearch:
-    """A control VM's search for the group that it belongs to.
+    """A control VM's search for the leader of its group.
 
-    Failure: the addresses in a newcomer's settings are those of followers, of VMs that
-    are gone, or of other newcomers. Symptom: it is never made a member, and the group
-    ends with the next losses. Enough: whoever is asked names all that it knows, so each
-    chain of living control VMs leads to the one that leads.
+    A newcomer's seeds may be followers, VMs that are gone, or other newcomers. If it
+    asked only them, it might never become a member, and the next losses could leave the
+    group without a quorum. So each VM that is asked answers with all addresses that it
+    knows, and each chain of running control VMs leads to the leader.
 
     Parameters
     ----------
     own : tuple of (str, int)
-        Where this VM takes links.
+        This VM's link address.
     now : float
-        Seconds of any steady clock.
+        Seconds of any monotonic clock.
     """
 
     def __init__(self, own, now):
@@ -31,7 +31,7 @@
         self._asked_addresses = frozenset()
 
     def add_addresses(self, addresses):
-        """Note where other control VMs take links."""
+        """Add link addresses of other control VMs, pairs of host and port."""
         self._received_addresses.add(addresses)
 
     def addresses(self, membership, seeds):
@@ -40,20 +40,20 @@
         Parameters
         ----------
         membership : Membership
-            The newest one that this VM has; it may be long out of date.
+            The newest one that this VM has; it may be outdated.
         seeds : iterable of (str, int)
-            Those of its settings.
+            From its settings.
         """
         members = {(member.host, member.port) for member in membership.members}
         return frozenset({*members, *seeds, *self._received_addresses} - {self._own})
 
     def addresses_to_ask(self, status, seeds, now):
-        """Return the addresses to ask now; empty if this VM has its group.
+        """Return the addresses to ask now; none if this VM has a leader.
 
         Parameters
         ----------
         status : Status
-            Of the consensus member.
+            Of this VM's consensus member.
         seeds : iterable of (str, int)
             As for ``addresses``.
         now : float
@@ -74,9 +74,9 @@
         return new
 
     def record_leader(self, now):
-        """Note that this VM has a leader, or leads."""
+        """Record that this VM has a leader, or leads."""
         self._leaderless_since_s = now
 
     def leaderless_s(self, now):
-        """Return for how many seconds this VM has had no leader."""
+        """Return the seconds that this VM has been without a leader."""
         return now - self._leaderless_since_s
--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -1,8 +1,8 @@
-"""What a leader of the control group decides about targets and keys in one term.
+"""Decisions of a control group's leader about targets and keys in one term.
 
-Pure: reports and the time come in; grants, changes for the log and news for the
-daemons go out. Everything here but the leases can be lost with the leader: the next
-one learns it again from the daemons' reports.
+Pure: it's given reports and the time, and returns grants, changes for the log and
+updates for the daemons. Everything here except the leases may be lost with the leader:
+the next one rebuilds it from the daemons' reports.
 """
 
 import attrs
@@ -22,31 +22,32 @@
 from tamarackhaven.fleet._ranges import overlaps
 from tamarackhaven.fleet._state import AssignKeys
 
-# Within this time of its election a leader has heard from every daemon that is there:
-# they look for a leader several times a second. Before, it neither shares out keys
-# nor calls a target gone.
+# Daemons look for a leader several times a second, so every running daemon has reported
+# within this time of an election. Until then the leader assigns no keys and treats no
+# target as gone.
 DISCOVERY_TIMEOUT_S = 1.2
-# A target whose daemon has been silent for so long gets no new keys.
+# A target whose daemon has sent no report for longer than this gets no new keys.
 MAX_REPORT_AGE_S = 1.5
-# Callers find out by themselves that a daemon is gone, and one that is only cut off
-# from the control VMs goes on serving. So the directory forgets late.
+# A silent target stays in the directory for this long: callers detect by themselves
+# that its daemon is gone, and a daemon that is only partitioned from the control VMs
+# keeps serving.
 SILENT_TARGET_TTL_S = 20.0
-# Load: a target joins, or load shifts. Harm: keys are unserved for about a heartbeat
-# while they move. Limit: few at a time in one service.
+# Keys are unserved for about a heartbeat while they move, when a target joins or load
+# shifts. So only a few ranges of a service are moved at a time for balance.
 MAX_BALANCING_MOVES = 4
-# Load: some owners are silent. Harm: keys that moved meanwhile fill the targets that
-# have to take over those of the silent ones. Limit: nothing moves while more than this
-# part of the targets is silent; one of a handful counts, one of dozens doesn't.
+# Balancing stops while more than this fraction of the targets is silent: moved keys
+# would fill the targets that may have to take over the keys of the silent ones. One
+# silent target of a handful exceeds it, one of dozens doesn't.
 MAX_SILENT_FRACTION = 0.2
 
 
-# Before any answer, all targets count as equally fast.
+# Until a request has been answered, all targets count as equally fast.
 DEFAULT_WORK_S = 0.1
 
 
 @attrs.define
 class _ReportedTarget:
-    """What a daemon's newest report says."""
+    """A target with the newest report of its daemon and when that was received."""
 
     target: Target
     report: object
@@ -60,9 +61,9 @@
     Parameters
     ----------
     first_grant : GrantId
-        The first grant without the range.
+        The first grant that leaves the range out.
     expires_s : float
-        When all earlier grants have run out.
+        When all earlier grants have expired, in seconds of the boot clock.
     """
 
     service: str
@@ -73,21 +74,21 @@
 
 @attrs.define
 class _TargetCount:
-    """Targets of a new service, and since when there have been so many."""
+    """Number of targets of a new service, and since when it hasn't changed."""
 
     count: int
     since_s: float
 
 
 class Leadership:
-    """One term's directory, leases and moves.
+    """One term's directory of targets, leases and pending moves.
 
     Parameters
     ----------
     term : int
         Of the leader.
     lease_s : float
-        Length of a target's lease.
+        Length of a target's lease, in seconds.
     now : float
         Seconds of the boot clock at which the term was confirmed.
     """
@@ -109,7 +110,15 @@
     # Reports and grants.
 
     def report(self, report, now):
-        """Take in a daemon's report."""
+        """Record a daemon's report.
+
+        Parameters
+        ----------
+        report : Report
+            The daemon's newest.
+        now : float
+            When it was received, in seconds of the boot clock.
+        """
         for life in report.ended_lives:
             self._end_life(life)
         target = report.target
@@ -121,8 +130,8 @@
         address = target.host, target.port
         former = self._life_by_address.get(address)
         if former is not None and former != target.life:
-            # A VM has one target at a time: its former one has ended, unless this
-            # report is the older one.
+            # A VM runs one target at a time, so the former one has ended, unless this
+            # is a late report of an older one.
             if self._reported_by_life[former].target.born_ms > target.born_ms:
                 return
             self._end_life(former)
@@ -149,8 +158,8 @@
     def grant(self, report, state, now):
         """Return the ``LeaseGrant`` that answers a report.
 
-        To be sent at once, after a quorum has confirmed the leader later than the
-        report came in.
+        Call it only after a quorum has confirmed the leader, in a round that began
+        after the report was received, and send the grant at once.
         """
         self._last_grant_number += 1
         grant = GrantId(self.term, self._last_grant_number)
@@ -172,7 +181,7 @@
         )
 
     def _without_moving(self, owned, life):
-        """Leave out the pieces of ranges that are on the move."""
+        """Return ``owned`` without the pieces that ``life`` was told to release."""
         pieces = [m.move.old for m in self._pending_moves if m.move.old.owner == life]
         result = []
         for each in owned:
@@ -183,12 +192,12 @@
         return tuple(result)
 
     def not_taken(self, command):
-        """Note that a change from ``tick`` never came into the log, or was void."""
+        """Discard a change from ``tick`` that wasn't committed, or was void."""
         self._open_changes.not_taken(command)
 
     @property
     def undecided_count(self):
-        """How many changes the log has not decided on yet."""
+        """Number of proposed changes whose outcome isn't known yet."""
         return len(self._open_changes)
 
     # Decisions.
@@ -196,13 +205,13 @@
     def tick(self, state, now):
         """Return the changes that are due, as a list of ``AssignKeys``.
 
-        Their keys are granted to nobody until ``state`` shows what became of them, or
+        Their keys are granted to no target until ``state`` shows the outcome, or
         ``not_taken`` is called.
 
-        Load: a disk that stalls while releases come in. Harm: the same changes are
-        proposed at each look, and each costs a record and a sync on every control VM.
-        Limit: one change of a service is on its way at a time; what is due meanwhile
-        goes into the next one.
+        At most one change of a service is in flight; later ones wait for the next.
+        Otherwise, while a disk is stalled and releases are received, every call would
+        propose the same changes again, and each costs a record and a sync on every
+        control VM.
         """
         if not self._has_all_reports(state, now):
             return []
@@ -219,10 +228,10 @@
         return commands
 
     def _has_all_reports(self, state, now):
-        """Whether no more daemons are to be expected.
+        """Whether every daemon has had time to report to this leader.
 
-        All of them are known to come within a second or so; after a loss of power
-        there is nothing to wait for once the place of each owner was heard.
+        They all do so within about a second. After a power failure the wait ends
+        early, once each owner's daemon has reported.
         """
         if now - self._confirmed_s >= DISCOVERY_TIMEOUT_S:
             return True
@@ -253,7 +262,8 @@
                 utilization.reassign(pending.move.old, pending.move.to_life)
         unowned = [each for each in ranges if self._is_unowned(each, now)]
         released = self._finished_moves(service, capacity_by_life, now)
-        # A move whose owner is gone meanwhile is a range without an owner like others.
+        # If the owner of a pending move is gone by now, the range is already assigned
+        # as an unowned one.
         released = [
             each
             for each in released
@@ -268,9 +278,9 @@
         return []
 
     def _capacity_by_life(self, service, state, now):
-        """Return the power of the targets that may get keys, by life.
+        """Return the capacity of the targets that may get keys, by life.
 
-        Power is in requests a second; of a cold target it is what it bears.
+        Capacity is in requests a second; for a cold target, at its cold rate.
         """
         reported = [
             each
@@ -304,7 +314,7 @@
         return _placement.Utilization(ranges, capacity_by_life, weights)
 
     def _first_assignment(self, service, ranges, capacity_by_life, now):
-        """Share out a new service's keys once no more targets come."""
+        """Assign a new service's keys once its number of targets is stable."""
         target_count = self._target_count_by_service.get(service)
         if target_count is None or target_count.count != len(capacity_by_life):
             self._target_count_by_service[service] = _TargetCount(
@@ -323,11 +333,11 @@
         return self._is_refused(key_range)
 
     def _is_refused(self, key_range):
-        """Whether the owner's target doesn't hold a range, nor will it.
+        """Whether the owner's target doesn't hold a range and refuses to.
 
-        Failure: a target has seen a higher token than the owner's. Symptom: its keys
-        stay unserved, as it refuses each order under the present one. Enough: they
-        are given out again, which makes a new token.
+        A target that has seen a higher fencing token than the range's refuses every
+        order under the present one, and the keys stay unserved. Assigning them again
+        creates a higher token, which it accepts.
         """
         reported = self._reported_by_life.get(key_range.owner)
         if reported is None or reported.report.settled.term != self.term:
@@ -338,11 +348,11 @@
         )
 
     def _is_replaced(self, life):
-        """Whether a later life was heard from the place of ``life``.
+        """Whether the daemon of ``life`` has reported a later life.
 
-        Failure: all VMs lose power, and the new leader knows none of the owners.
-        Symptom: their keys wait for a lease that nobody holds. Enough: a place has one
-        target at a time, so what started there later has replaced it.
+        After a power failure of all VMs the new leader knows none of the owners, and
+        their keys would wait for leases that no target holds. A daemon has one target
+        at a time, so one that started later has replaced it.
         """
         daemon, start_ms = daemon_and_start(life)
         return self._start_ms_by_daemon.get(daemon, 0) > start_ms
@@ -353,7 +363,7 @@
         return [m for m in self._pending_moves if m.service == service]
 
     def _drop_stale_moves(self, service, ranges):
-        """Forget the moves whose keys have another owner or fence by now."""
+        """Drop pending moves whose keys have another owner or fence by now."""
         kept = []
         for pending in self._pending_moves:
             is_current = pending.service != service or any(
@@ -397,11 +407,12 @@
             )
 
     def _lives_with_unknown_holds(self, capacity_by_life):
-        """Return the lives of which nobody knows what they hold.
+        """Return the lives whose holds aren't known to their daemons.
 
-        Load: daemons that have just started again, and a balance that their absence
-        upset. Harm: keys that move away from such a target stay unserved until all that
-        it may have been told has run out, some seconds. Limit: those seconds.
+        A daemon that has just restarted doesn't know what its target was granted
+        before. Keys that move away from such a target stay unserved for some seconds,
+        until every grant that it may have received has expired. So they are left out
+        of balancing, which the restarts themselves may have made necessary.
         """
         return {
             life
@@ -410,15 +421,15 @@
         }
 
     def _has_too_many_silent(self, ranges, capacity_by_life):
-        """Whether the fate of too many owners is open; their keys need the room."""
+        """Whether so many owners are silent that their keys may need the capacity."""
         silent = {each.owner for each in ranges} - capacity_by_life.keys()
         return len(silent) > MAX_SILENT_FRACTION * len(capacity_by_life)
 
     def _is_leaving(self, life, state):
-        """Whether an owner said that it leaves, or its zone is out.
+        """Whether an owner drains, or its zone is out.
 
-        One that is silent may only have a daemon that restarts: it keeps its keys
-        until its lease is over.
+        A silent owner keeps its keys until its lease expires: its daemon may only be
+        restarting.
         """
         reported = self._reported_by_life.get(life)
         if reported is None:
@@ -427,7 +438,7 @@
         return is_draining or reported.target.zone in state.zones_out
 
     def _finished_moves(self, service, capacity_by_life, now):
-        """Return the new ranges of moves whose old owner has let go."""
+        """Return the new ranges of moves whose old owner has released them."""
         new = []
         for pending in self._pending_moves_of(service):
             old = pending.move.old
@@ -441,7 +452,10 @@
         return new
 
     def _handover_of(self, pending, now):
-        """Return the handover of a finished release, empty without one, else None."""
+        """Return the handover token of a finished release, None if it isn't finished.
+
+        The token is empty if the old owner left none.
+        """
         old = pending.move.old
         has_expired = self._is_replaced(old.owner) or self.leases.has_expired(
             old.owner, now
@@ -455,15 +469,15 @@
             return None
         return _handover_token(reported.report.releases, old)
 
-    # News.
+    # Updates for daemons.
 
     def targets_view(self):
-        """Return all targets, for a daemon that has just come."""
+        """Return all targets, for a daemon that has just connected."""
         targets = tuple(reported.target for reported in self._reported_by_life.values())
         return TargetsView(self.term, targets)
 
     def take_targets_update(self):
-        """Return a ``TargetsView`` of what changed since the last call, or None."""
+        """Return a ``TargetsView`` of all changes since the last call, or None."""
         if not self._changed_by_life and not self._gone_lives:
             return None
         view = TargetsView(
@@ -475,12 +489,12 @@
 
 
 def _without_load(target):
-    """Return what daemons need to hear of at once; the load comes with answers."""
+    """Return ``target`` without its load, which daemons learn from answers."""
     return attrs.evolve(target, load=0.0, work_s=0.0)
 
 
 def _capacity(target, mean_work_s, spec):
-    """Return the requests a second that a target can do."""
+    """Return a target's capacity in requests a second."""
     capacity = max(target.slots, 1) / (target.work_s or mean_work_s)
     if target.is_cold and spec.cold_per_s:
         capacity = min(capacity, spec.cold_per_s)
@@ -492,7 +506,7 @@
 
 
 def _handover_token(releases: tuple[Release, ...], old):
-    """Return the token of a release that covers the range, empty if there is none."""
+    """Return the token of a release that covers ``old``, or an empty string."""
     for release in releases:
         if release.first <= old.first and old.last <= release.last:
             return release.handover
--- a/tamarackhaven/fleet/_machine.py
+++ b/tamarackhaven/fleet/_machine.py
@@ -15,8 +15,8 @@
     Parameters
     ----------
     on_applied : callable
-        ``on_applied(index, command, outcome)`` on the member's thread; ``command`` is
-        None for entries of consensus itself and for restored snapshots.
+        ``on_applied(index, command, outcome)``, called on the member's thread;
+        ``command`` is None for consensus's own entries and for restored snapshots.
     """
 
     def __init__(self, on_applied):
@@ -26,7 +26,7 @@
         self._on_applied = on_applied
 
     def apply(self, entry):
-        """Apply an entry; return the ``Outcome`` of a change, None for others."""
+        """Apply a log entry; return the ``Outcome`` of a change, None for others."""
         command = outcome = None
         with self.lock:
             if entry.kind is EntryKind.CHANGE:
@@ -37,12 +37,12 @@
         return outcome
 
     def snapshot(self):
-        """Return the state as bytes."""
+        """Return the state as the bytes of a snapshot."""
         with self.lock:
             return self.state.save()
 
     def restore(self, snapshot):
-        """Take the state of a snapshot."""
+        """Replace the state by a snapshot's; an empty state if it has no data."""
         state = FleetState.restored(snapshot.data) if snapshot.data else FleetState()
         with self.lock:
             self.state = state
--- a/tamarackhaven/fleet/_messages.py
+++ b/tamarackhaven/fleet/_messages.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class MemberHello:
-    """A control VM opens a link to another one and says how to answer it."""
+    """First message on a link between control VMs, with the sender's link address."""
 
     name: str
     host: str
@@ -18,21 +18,21 @@
 
 @attrs.frozen
 class ConsensusBatch:
-    """Consensus messages, packed by ``_raft_wire``."""
+    """Consensus messages, each packed by ``_raft_wire``."""
 
     messages: tuple[bytes, ...]
 
 
 @attrs.frozen
 class JoinGroup:
-    """A control VM that is no member asks to be added.
+    """Asks to add a control VM as a member.
 
     Parameters
     ----------
     name : str
         Never used before with another disk.
     host, port : str, int
-        Where it takes links.
+        Its link address.
     """
 
     name: str
@@ -42,12 +42,12 @@
 
 @attrs.frozen
 class GroupHint:
-    """Answers ``JoinGroup``: whom else to ask.
+    """Answers ``JoinGroup`` with further control VMs to ask.
 
     Parameters
     ----------
-    control : tuple
-        Addresses where other control VMs take links, as far as the sender knows.
+    control : tuple of (str, int)
+        Link addresses of all other control VMs that the sender knows.
     """
 
     control: tuple[tuple[str, int], ...]
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class DaemonHello:
-    """A daemon asks who leads, and says who it is.
+    """Identifies a daemon and asks which control VM leads.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
     boot : str
         Random name of this run of the process.
     known : Known
-        What it needs not be sent again.
+        Parts of the state that needn't be sent again.
     """
 
     daemon: str
@@ -100,9 +100,9 @@
     term : int
         Its term.
     leader : tuple of (str, int) or None
-        Address of the leader, if known.
-    control : tuple
-        Addresses of all control VMs.
+        Link address of the leader, if known.
+    control : tuple of (str, int)
+        Link addresses of all control VMs that the sender knows.
     """
 
     is_leader: bool
@@ -113,32 +113,32 @@
 
 @attrs.frozen
 class Report:
-    """A daemon tells about its target, and asks for its lease.
+    """Reports a daemon's target, and requests a lease for it.
 
     Parameters
     ----------
     number : int
-        Rises with each report of a run.
+        Increases with each report of a run.
     target : Target or None
-        None as long as no target has announced itself.
+        None until a target has announced itself.
     holds : tuple of Hold
         From the target's newest heartbeat.
     releases : tuple of Release
-        What this life released and whose keys the daemon still sees unassigned.
+        Releases of this life whose keys have no new owner yet, as the daemon knows.
     settled : GrantId
-        The grant that the target had been told before its newest heartbeat.
+        The newest grant that the target had received before its newest heartbeat.
     ended_lives : tuple of str
-        Lives that certainly run no more on this VM.
+        Lives that have certainly ended on this VM.
     state_index : int
-        Index of the newest replicated state that the daemon has.
+        Log index of the newest replicated state that the daemon has.
     key_load : tuple of (int, float)
-        Number of a bucket of keys, and requests a second for it; the busiest ones.
+        Number of a bucket of keys, and requests a second for it; the busiest buckets.
     key_rest : float
         Requests a second for all other keys that the target owns.
     refused : tuple of Hold
-        What the target won't hold under its present token.
+        Ranges that the target refuses to hold under their present token.
     knows_holds : bool
-        Whether ``holds`` is what the target may hold; else it may hold anything.
+        Whether ``holds`` is all that the target may hold; else it may hold any key.
     """
 
     number: int
@@ -163,15 +163,15 @@
     number : int
         Of the report; the lease counts from when that report was sent.
     grant : GrantId
-        Orders the grants.
+        Orders the grants of all leaders.
     lease_s : float
-        How long it holds.
+        How long it is valid, in seconds.
     life : str
-        Which life of the target it is for.
+        The target's life that it is for.
     ranges : tuple of KeyRange
-        All that this life may hold.
+        All ranges that this life may hold.
     keys_index : int
-        Log index of the service's owners that the leader went by.
+        Log index of the service's owners that the grant is based on, -1 for none.
     """
 
     number: int
@@ -192,10 +192,10 @@
 
 @attrs.frozen
 class ConfigurationChange:
-    """What changed since the configuration that the daemon has.
+    """The difference from the daemon's configuration to that of log index ``index``.
 
     With hundreds of routes and several changes a second, whole configurations would
-    fill the link of a small VM.
+    saturate the link of a small VM.
     """
 
     index: int
@@ -204,7 +204,7 @@
 
 @attrs.frozen
 class ZonesView:
-    """Availability zones that take nothing new, as of log index ``index``."""
+    """Availability zones that accept no new requests, as of log index ``index``."""
 
     index: int
     zones_out: tuple[str, ...]
@@ -217,7 +217,7 @@
     Parameters
     ----------
     is_whole : bool
-        Whether ``ranges`` cover all keys; else they replace what they overlap.
+        Whether ``ranges`` cover all keys; else they replace the keys that they cover.
     """
 
     index: int
@@ -228,12 +228,16 @@
 
 @attrs.frozen
 class TargetsView:
-    """Targets that came or changed, and lives that are gone.
+    """Targets that are new or have changed, and lives that are gone.
 
     Parameters
     ----------
     term : int
         Of the leader.
+    targets : tuple of Target
+        New or changed.
+    gone : tuple of str
+        Lives of targets that are gone.
     """
 
     term: int
--- a/tamarackhaven/fleet/_model.py
+++ b/tamarackhaven/fleet/_model.py
@@ -1,4 +1,4 @@
-"""Targets, owned key ranges and leases, as control VMs and daemons tell each other."""
+"""Targets, key ranges and grants, as exchanged by control VMs and daemons."""
 
 import enum
 
@@ -6,16 +6,16 @@
 
 # Keys are 16-bit numbers.
 KEY_COUNT = 1 << 16
-# Load is counted for so many neighbouring keys together: a hot run of some dozens of
+# Load is counted for buckets of this many adjacent keys: a hot run of some dozens of
 # keys can still be split, and a report stays below a few kilobytes.
 BUCKET_KEYS = 16
 
 
 class TargetPhase(enum.Enum):
-    """What a target says of itself."""
+    """The phase that a target reports."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes what it has, takes nothing new
+    DRAINING = "draining"  # finishes running requests, accepts no new ones
 
 
 @attrs.frozen
@@ -25,13 +25,13 @@
     Parameters
     ----------
     first, last : int
-        Both included.
+        First and last key, both included.
     fence : int
-        Fencing token; rises with each change of owner.
+        Fencing token; increases with each change of owner.
     owner : str
         Life of the owning target (``Target.life``), empty if none.
     handover : str
-        What the former owner released the keys with, for a warm start; may be empty.
+        Token of the former owner's release, for a warm start; may be empty.
     """
 
     first: int
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Hold:
-    """Keys that a target says it holds or still works on."""
+    """Keys that a target reports to hold or to be still working on."""
 
     first: int
     last: int
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Release:
-    """Keys that a target has let go of, with the token for its successor."""
+    """Keys that a target has released, with the handover token for the next owner."""
 
     first: int
     last: int
@@ -61,30 +61,30 @@
 
 @attrs.frozen
 class Target:
-    """One life of a target, with the daemon beside it.
+    """One life of a target, with its daemon's address; a restart begins another life.
 
     Parameters
     ----------
     life : str
-        Name, start and place of the target; a restart is another life.
+        The target's name, start time and daemon, as from ``life_of``.
     name : str
-        What the target calls itself.
+        As the target announced.
     born_ms : int
         Start of this life, Unix milliseconds by the target's clock.
     service, zone : str
         As the target announced.
     host, port : str, int
-        Where its daemon takes forwarded requests.
+        Address at which its daemon accepts forwarded requests.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs concurrently.
     phase : TargetPhase
         Ready or draining.
     load : float
-        Requests running and waiting at its gate, for each slot.
+        Requests running and waiting at its gate, per slot.
     work_s : float
-        Mean time that it takes for a request, in seconds; 0 before the first one.
+        Mean time to process a request, in seconds; 0 before the first one.
     is_cold : bool
-        Whether it bears only the service's cold rate for now.
+        Whether it can serve only the service's cold rate for now.
     """
 
     life: str
@@ -102,29 +102,32 @@
 
 
 def life_of(name, born_ms, daemon):
-    """Return the name of one life of a target.
+    """Return the identifier of one life of a target.
 
     Parameters
     ----------
     name : str
-        What the target calls itself.
+        As the target announced.
     born_ms : int
-        Start of the life.
+        Start of the life, Unix milliseconds by the target's clock.
     daemon : str
-        Its daemon's host and port; a later life at the same place ends this one.
+        Its daemon's host and port; a later life with the same daemon ends this one.
     """
     return f"{name}@{born_ms}@{daemon}"
 
 
 def daemon_and_start(life):
-    """Return the place of a life, and its start in milliseconds."""
+    """Return the daemon of a life, and its start in Unix milliseconds."""
     _, born_ms, daemon = life.rsplit("@", 2)
     return daemon, int(born_ms)
 
 
 @attrs.frozen(order=True)
 class GrantId:
-    """Orders the grants of all leaders: a later leader has a higher term."""
+    """Identifies and orders the grants of all leaders.
+
+    A later leader has a higher term.
+    """
 
     term: int = 0
     number: int = 0
--- a/tamarackhaven/fleet/_open_changes.py
+++ b/tamarackhaven/fleet/_open_changes.py
@@ -1,4 +1,4 @@
-"""Changes of owners that a leader proposed and the log has not decided on. Pure."""
+"""Tracks proposed changes of owners whose outcome isn't known yet. Pure."""
 
 import bisect
 
@@ -8,7 +8,7 @@
 
 
 class OpenChanges:
-    """At most one ``AssignKeys`` of each service."""
+    """The open ``AssignKeys`` of each service, at most one."""
 
     def __init__(self):
         self._command_by_service = {}
@@ -17,16 +17,19 @@
         return len(self._command_by_service)
 
     def add(self, command):
-        """Note a change that is proposed now."""
+        """Add a change that is being proposed."""
         self._command_by_service[command.service] = command
 
     def not_taken(self, command):
-        """Note that a change never came into the log, or was void."""
+        """Remove a change that wasn't committed, or was void."""
         if self._command_by_service.get(command.service) is command:
             del self._command_by_service[command.service]
 
     def has(self, service, ranges):
-        """Whether a change of a service is open, as far as its ``ranges`` show."""
+        """Whether a service has an open change; removes one that is outdated.
+
+        It's outdated once ``ranges`` no longer contain those that it expects.
+        """
         command = self._command_by_service.get(service)
         if command is None:
             return False
@@ -36,12 +39,12 @@
         return False
 
     def without(self, owned, service, ranges):
-        """Return ``owned`` less the keys that an open change gives to somebody else.
+        """Return ``owned`` without the keys that an open change reassigns.
 
-        Failure: an owner's lease is over, its keys are proposed for another one, and
-        its daemon comes back before that is committed. Symptom: it is granted the keys
-        once more, and then so is the new owner. Enough: what was proposed is not
-        granted until the log has decided on it.
+        An owner's lease may expire and its keys be proposed for another owner, and its
+        daemon report again before that is committed. If the keys were granted to it
+        once more, both would hold them. So they're granted to neither until the
+        outcome of the change is known.
         """
         if not self.has(service, ranges):
             return owned
@@ -51,7 +54,7 @@
 
 
 def subtract(whole, piece):
-    """Return what is left of ``whole`` without ``piece``, as a list."""
+    """Return the parts of ``whole`` outside ``piece``, as a list."""
     if not overlaps(whole, piece):
         return [whole]
     left = []
@@ -63,7 +66,7 @@
 
 
 def _are_current(expected, ranges):
-    """Whether all of ``expected`` are among ``ranges``, which are in order."""
+    """Whether all of ``expected`` are in ``ranges``, which are in order."""
     return all(_find(ranges, each.first) == each for each in expected)
 
 
--- a/tamarackhaven/fleet/_placement.py
+++ b/tamarackhaven/fleet/_placement.py
@@ -1,33 +1,34 @@
-"""Which target owns which keys: for keys without an owner, and for planned moves.
+"""Places keys on targets: unowned keys, and planned moves of owned ones.
 
-Pure. Targets are compared by their use: the work that their keys bring, as a part of
-the work that they can do.
+Pure. Targets are compared by their utilization: the work that their keys cause, as a
+fraction of their capacity.
 """
 
 import attrs
 
 from tamarackhaven.fleet._model import BUCKET_KEYS, KEY_COUNT, KeyRange
 
-# Load: busy keys lie close together. Harm: one range for each target would give one of
-# them all busy keys. Limit: a target's ranges must fit one heartbeat's answer of 4 KiB
-# with room for splits; eight of about 45 bytes leave most of it free.
+# Busy keys are often adjacent, and with one range for each target a single target would
+# get all of them. A target's ranges must fit one heartbeat's answer of 4 KiB, with room
+# for splits; eight of about 45 bytes leave most of it free.
 INITIAL_RANGES_PER_TARGET = 8
-# More ranges than this for one target no longer fit a heartbeat's answer.
+# More ranges of one target wouldn't fit a heartbeat's answer.
 MAX_RANGES_PER_TARGET = 56
-# Keys that nobody asks for count as if all of them together used this part of the
-# targets, so that they are shared out, too: their time may come.
+# Keys without requests count as if together they used this fraction of all targets'
+# capacity. So they're spread as well, in case requests for them come later.
 IDLE_KEYS_UTILIZATION = 0.2
-# Load: demand that varies from second to second. Harm: each move leaves its keys
-# unserved for some tenths of a second, so chasing exact balance costs more than it
-# gives. Limit: two targets' use may differ by both of these, the second as a part of
-# the mean use; counts of a second or two vary by less.
+# Each move leaves its keys unserved for some tenths of a second, and demand varies from
+# second to second, so exact balance would cost more than it gains. Keys move only if
+# two targets' utilization differs by more than both of these, the second as a fraction
+# of the mean utilization; counts of a second or two vary by less.
 MIN_UTILIZATION_GAP = 0.15
 MIN_UTILIZATION_GAP_FRACTION = 0.3
-# A target with use to spare answers about as fast as any other: its keys move only to
-# one that has next to nothing, as one that has just joined.
+# A target below this utilization answers about as fast as any other. Its keys move only
+# to targets whose utilization is below the second value, a fraction of the mean: mostly
+# targets that have just joined.
 HIGH_UTILIZATION = 0.8
 LOW_UTILIZATION_FRACTION = 0.3
-# A move aims at most of the difference: what was counted is a second old.
+# Moves less than the full difference, because the counts are a second old.
 MOVED_GAP_FRACTION = 0.8
 
 
@@ -40,7 +41,7 @@
 
 
 def first_ranges(capacity_by_life):
-    """Return the ranges of a service whose keys nobody has owned yet.
+    """Return the first ranges of a service whose keys have never been owned.
 
     Parameters
     ----------
@@ -59,7 +60,7 @@
 
 
 def _lives_by_capacity(capacity_by_life):
-    """Return lives in turn, each as often as its part of the power."""
+    """Return lives by weighted round robin, each in proportion to its capacity."""
     total = sum(capacity_by_life.values())
     rounds = len(capacity_by_life) * INITIAL_RANGES_PER_TARGET
     credit = dict.fromkeys(sorted(capacity_by_life), 0.0)
@@ -74,16 +75,16 @@
 
 
 class KeyWeights:
-    """How much work keys bring, in requests a second.
+    """How much work keys cause, in requests a second.
 
     Parameters
     ----------
     rate_by_bucket : dict of int to float
         Requests a second for each busy bucket of ``BUCKET_KEYS`` keys.
     other_rate : float
-        Requests a second for all other keys, taken as spread evenly.
+        Requests a second for all other keys, assumed to be spread evenly.
     capacity : float
-        Requests a second that all targets can do.
+        Requests a second that all targets together can serve.
     """
 
     def __init__(self, rate_by_bucket, other_rate, capacity):
@@ -91,12 +92,15 @@
         self._idle_per_key = (IDLE_KEYS_UTILIZATION * capacity + other_rate) / KEY_COUNT
 
     def bucket_weight(self, number):
-        """Return the weight of a whole bucket."""
+        """Return the weight of a whole bucket, in requests a second."""
         idle = self._idle_per_key * BUCKET_KEYS
         return self._rate_by_bucket.get(number, 0.0) + idle
 
     def weight_of(self, key_range):
-        """Return the weight of a range; a bucket in two ranges counts by its part."""
+        """Return the weight of a range, in requests a second.
+
+        A split bucket counts in proportion to its keys.
+        """
         first, last = key_range.first // BUCKET_KEYS, key_range.last // BUCKET_KEYS
         weight = (key_range.last - key_range.first + 1) * self._idle_per_key
         if last - first + 1 < len(self._rate_by_bucket):
@@ -118,7 +122,7 @@
 
 
 class Utilization:
-    """What each target owns, as a part of what it can do.
+    """The work of each target's keys, as a fraction of the target's capacity.
 
     Parameters
     ----------
@@ -141,19 +145,19 @@
                 self.count_by_life[each.owner] += 1
 
     def capacity(self, life):
-        """Return the requests a second that ``life`` can do."""
+        """Return the requests a second that ``life`` can serve."""
         return self._capacity_by_life[life]
 
     def of(self, life):
-        """Return the work of ``life`` as a part of what it can do."""
+        """Return the work of ``life`` as a fraction of its capacity."""
         return self.weight_by_life[life] / self._capacity_by_life[life]
 
     def mean(self):
-        """Return the use of all targets together."""
+        """Return the utilization of all targets together."""
         return sum(self.weight_by_life.values()) / sum(self._capacity_by_life.values())
 
     def least(self):
-        """Return the life with the least use that has room for another range."""
+        """Return the least utilized life that has room for another range."""
         with_room = [
             life
             for life, count in self.count_by_life.items()
@@ -162,12 +166,12 @@
         return min(with_room or self.weight_by_life, key=self.of)
 
     def most(self, excluding=()):
-        """Return the life with the most use that is not in ``but``, None without."""
+        """Return the most utilized life not in ``excluding``, None if none is left."""
         lives = [life for life in self.weight_by_life if life not in excluding]
         return max(lives, key=self.of, default=None)
 
     def reassign(self, key_range, to_life):
-        """Count ``key_range`` for ``to_life`` from now on."""
+        """Count ``key_range`` for ``to_life`` instead of its present owner."""
         weight = self.weights.weight_of(key_range)
         if key_range.owner in self.weight_by_life:
             self.weight_by_life[key_range.owner] -= weight
@@ -177,7 +181,7 @@
 
 
 def assign_unowned(unowned, utilization):
-    """Return new owners for ranges that nobody holds, heaviest first."""
+    """Return unowned ranges with new owners, heaviest range first."""
     new = []
     for each in sorted(unowned, key=utilization.weights.weight_of, reverse=True):
         life = utilization.least()
@@ -187,7 +191,7 @@
 
 
 def leave(ranges, leaving, utilization):
-    """Return moves for all ranges whose owners are leaving."""
+    """Return moves of all ranges whose owners are leaving."""
     moves = []
     for each in ranges:
         if each.owner not in leaving:
@@ -199,9 +203,9 @@
 
 
 def balance(ranges, utilization, max_moves, excluded=()):
-    """Return moves from the most to the least used targets, a few at a time.
+    """Return up to ``max_moves`` moves from the most to the least utilized targets.
 
-    Nothing moves away from the lives in ``fixed``.
+    Nothing moves away from the lives in ``excluded``.
     """
     moves = []
     ranges = list(ranges)
@@ -211,9 +215,9 @@
         for life in utilization.weight_by_life
         if utilization.of(life) < low_utilization
     }
-    # Failure: one key is too hot for any target. Symptom: its owner stays the most used
-    # one, nothing of it can move, and nobody else's keys move either. Enough: who has
-    # nothing to give is passed over.
+    # If one key is too hot for any target, its owner stays the most utilized one and
+    # has no piece that can move. Unless it's skipped, no other target's keys would move
+    # either.
     exhausted = set(excluded)
     while len(moves) < max_moves:
         receiver, donor = utilization.least(), utilization.most(excluding=exhausted)
@@ -243,7 +247,10 @@
 
 
 def _best_piece(ranges, donor, max_weight, weights):
-    """Return a giver's range, and the heaviest piece of it that fits ``wanted``."""
+    """Return the donor's range with the heaviest movable piece, and that piece.
+
+    The piece weighs ``max_weight`` at most; None if there is none.
+    """
     best = None
     best_weight = 0.0
     for whole in ranges:
@@ -256,7 +263,10 @@
 
 
 def _heaviest_run(whole, max_weight, weights):
-    """Return the heaviest run of whole buckets within a range, ``wanted`` at most."""
+    """Return the heaviest run of whole buckets within a range, and its weight.
+
+    The run weighs ``max_weight`` at most; it's None if there is none.
+    """
     total = weights.weight_of(whole)
     if total <= max_weight:
         return total, whole
--- a/tamarackhaven/fleet/_ranges.py
+++ b/tamarackhaven/fleet/_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of keys that lie in order without gap or overlap. Pure."""
+"""Operations on ordered key ranges without gap or overlap. Pure."""
 
 import bisect
 import itertools
@@ -9,7 +9,7 @@
 
 
 def whole():
-    """Return the ranges of a service whose keys nobody owns yet."""
+    """Return the ranges of a service whose keys have no owner yet."""
     return (KeyRange(0, KEY_COUNT - 1),)
 
 
@@ -41,7 +41,7 @@
 
 
 def _remainder(old, new):
-    """Return what is left of ``old`` outside ``new``."""
+    """Yield the parts of ``old`` that ``new``, ordered by first key, doesn't cover."""
     first = old.first
     for each in new:
         if each.first > old.last:
@@ -54,7 +54,7 @@
 
 
 def _merged(ranges):
-    """Join neighbours that differ in their keys only; fewer rows fit a heartbeat."""
+    """Merge adjacent ranges that differ only in keys, to keep heartbeats small."""
     result = []
     for each in ranges:
         if result and _differ_only_in_keys(result[-1], each):
@@ -65,7 +65,7 @@
 
 
 def _differ_only_in_keys(one, other):
-    """Whether two ranges differ in their keys only."""
+    """Whether two ranges have the same fence, owner and handover."""
     return (
         one.fence == other.fence
         and one.owner == other.owner
@@ -74,7 +74,13 @@
 
 
 class RangeIndex:
-    """Finds the range of a key."""
+    """Finds the range of a key by binary search.
+
+    Parameters
+    ----------
+    ranges : tuple of KeyRange
+        In order, covering all keys.
+    """
 
     def __init__(self, ranges):
         self.ranges = ranges
@@ -86,12 +92,12 @@
 
 
 def overlaps(one, other):
-    """Tell whether two ranges share a key."""
+    """Return whether two ranges share a key."""
     return one.first <= other.last and other.first <= one.last
 
 
 def has_overlap(ranges):
-    """Tell whether any two of several ranges share a key."""
+    """Return whether any two of several ranges share a key."""
     ordered = sorted(ranges, key=lambda each: each.first)
     return any(
         following.first <= before.last
--- a/tamarackhaven/fleet/_report_answers.py
+++ b/tamarackhaven/fleet/_report_answers.py
@@ -1,28 +1,28 @@
-"""Answers daemons' reports with leases, once a quorum has confirmed the leader."""
+"""Answers daemons' reports with leases once a quorum has confirmed the leader."""
 
 import asyncio
 
 from tamarackhaven._clock import boot_s
 from tamarackhaven.errors import TamarackhavenError
 
-# Reports that come within this time share one round of heartbeats; it delays a lease
-# by a small part of its length.
+# Reports received within this time share one quorum confirmation. The delay is small
+# compared with a lease.
 CONFIRM_BATCH_S = 0.08
 
 
 class ReportAnswers:
-    """The reports that wait for their answer, the newest one of each daemon.
+    """Queue of unanswered reports, with the newest one of each daemon.
 
-    Load: a daemon that reports without a pause. Harm: an answer to each fills the
-    leader's processor. Limit: those that wait together are answered once.
+    Only the newest of a daemon's queued reports is answered. Otherwise a daemon that
+    reports without a pause would saturate the leader's CPU.
 
     Parameters
     ----------
     read : callable
-        Awaitable; returns once a quorum has confirmed that this member leads, and
-        raises ``TamarackhavenError`` if it doesn't.
+        Coroutine function; returns once a quorum has confirmed that this member leads,
+        and raises ``TamarackhavenError`` if none does.
     leadership : callable
-        Gives the ``Leadership`` in force, None if there is none.
+        Returns the ``Leadership`` in force, None if there is none.
     machine : FleetMachine
         Of the member.
     metrics : Metrics
@@ -38,14 +38,14 @@
         self._confirm_task = None
 
     def add(self, link, report):
-        """Answer a report soon."""
+        """Queue a report for an answer on ``link``."""
         self._report_by_link[link] = report
         if self._confirm_task is None:
             loop = asyncio.get_running_loop()
             self._confirm_task = loop.create_task(self._confirm())
 
     async def _confirm(self):
-        """Grant what was asked for, once a quorum has heard this leader after it."""
+        """Answer queued reports after a quorum has confirmed this leader."""
         try:
             while self._report_by_link:
                 await asyncio.sleep(CONFIRM_BATCH_S)
@@ -54,7 +54,7 @@
                 try:
                     await self._read()
                 except TamarackhavenError:
-                    # Not the leader any more; the daemons look for the next one.
+                    # No longer the leader; the daemons look for the next one.
                     continue
                 if leadership is not None and leadership is self._leadership():
                     self._grant(leadership, report_by_link)
--- a/tamarackhaven/fleet/_sessions.py
+++ b/tamarackhaven/fleet/_sessions.py
@@ -1,4 +1,4 @@
-"""The links of daemons to the leading control VM, and what each has been sent."""
+"""Sessions of daemons with the leading control VM: what each has been sent."""
 
 import collections
 
@@ -7,16 +7,16 @@
 from tamarackhaven.fleet._feed import UpdateCache
 from tamarackhaven.fleet._messages import Known
 
-# Load: owners change many times a second, with a hundred daemons on small links. Harm:
-# a new configuration stands for seconds behind news that are out of date by then.
-# Limit: about ten changes of owners on their way to a daemon; what changes meanwhile
-# comes as one difference.
+# Owners may change many times a second, with a hundred daemons on slow links. Without a
+# limit, a new configuration would be queued for seconds behind updates that are
+# outdated by then. This is about ten changes of owners in flight to a daemon; further
+# changes are combined into one difference.
 MAX_UNACKNOWLEDGED_BYTES = 4096
 
 
 @attrs.frozen
 class _Unacknowledged:
-    """News that a daemon has not reported to have: log index, and size in bytes."""
+    """An update not yet acknowledged by a daemon: log index, and size in bytes."""
 
     index: int
     size: int
@@ -24,7 +24,7 @@
 
 @attrs.define(eq=False)
 class Session:
-    """One daemon's link.
+    """One daemon's session.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
     update_cache : UpdateCache
         Shared by all sessions.
     known : Known
-        What the daemon said that it has.
+        The parts of the state that the daemon had at the start of the session.
     """
 
     daemon: str
@@ -51,18 +51,18 @@
         self._index_by_service = dict(self.known.keys)
 
     def catch_up(self, state):
-        """Send all parts of ``state`` that are newer than what the daemon has."""
+        """Send all parts of ``state`` that are newer than the daemon's."""
         self._send_configuration_and_zones(state)
         self._send_owners(state)
 
     def send_updates(self, state):
-        """Send what is newer, owners of keys only as far as the daemon keeps up."""
+        """Send newer parts of ``state``; owners only if few are unacknowledged."""
         self._send_configuration_and_zones(state)
         if self._unacknowledged_bytes < MAX_UNACKNOWLEDGED_BYTES:
             self._send_owners(state)
 
     def acknowledge(self, index):
-        """Note that the daemon has everything up to a log index."""
+        """Record that the daemon has received all updates up to a log index."""
         while self._unacknowledged and self._unacknowledged[0].index <= index:
             self._unacknowledged.popleft()
 
--- a/tamarackhaven/fleet/_settings.py
+++ b/tamarackhaven/fleet/_settings.py
@@ -1,6 +1,6 @@
 """Settings of a control VM and of a daemon in a fleet; read by ``_settings_file``.
 
-Addresses are texts as ``10.1.0.41:8620``. Times are in seconds.
+Addresses are strings like ``10.1.0.41:8620``. Times are in seconds.
 """
 
 import attrs
@@ -46,14 +46,14 @@
 
 @attrs.frozen
 class FleetLeaseSettings:
-    """Leases of targets; the same on all control VMs and daemons.
+    """Leases of targets; must be the same on all control VMs and daemons.
 
     Parameters
     ----------
     heartbeat_s : float
-        Time between two heartbeats of a target, as the platform says.
+        Time between two heartbeats of a target, as set by the platform.
     longest_hold_s : float
-        Longest time that a target may be told to hold keys.
+        Longest time for which a target may be granted keys.
     """
 
     heartbeat_s: float = _seconds(1.0, 0.01, 60)
@@ -61,10 +61,10 @@
 
     @property
     def lease_s(self):
-        """Length of a lease.
+        """Length of a lease, in seconds.
 
-        Two heartbeats may be lost and the control group may change its leader, about
-        1.5 s, before a target's hold runs out.
+        A target's hold survives two lost heartbeats and a change of the control group's
+        leader, which takes about 1.5 s.
         """
         return min(1.5 + 2.5 * self.heartbeat_s, self.longest_hold_s)
 
@@ -78,22 +78,26 @@
     name : str
         Of the VM, for logs.
     operators : str
-        Address for operators' orders.
+        Address at which operators' orders are accepted.
     links : str
-        Address for daemons and other control VMs.
+        Address for links from daemons and other control VMs.
     links_listen : str
-        Where it listens for links, if others reach that by another address; empty if
-        it is ``links``.
+        Address to listen on for links, if it differs from ``links``; empty if it
+        doesn't.
     metrics : str
         Address of the metrics page; empty for none.
     data_folder : str
-        On the VM's disk.
+        Folder for the replicated log, on the VM's disk.
     seeds : list of str
-        Addresses for operators' orders of some control VMs.
+        ``operators`` addresses of some control VMs.
     is_first_start : bool
         Whether the whole system starts for the first time.
     tolerated_losses : int
         Control VMs that may be lost at once.
+    order_timeout_s : float
+        Time within which an operator's order must be committed.
+    lease : FleetLeaseSettings
+        Leases of targets.
     """
 
     name: str = _text()
@@ -111,16 +115,16 @@
 
 @attrs.frozen
 class BudgetSettings:
-    """Second sends to targets, over all daemons.
+    """Limits retries of requests to targets, over all daemons.
 
     Parameters
     ----------
     ratio : float
-        Part of a service's requests.
+        Retries as a fraction of a service's requests.
     window_s : float
-        Sliding window for the count.
+        Sliding window over which requests are counted, in seconds.
     slack : int
-        Allowed besides, in each window.
+        Retries allowed in addition, in each window.
     """
 
     ratio: float = _seconds(0.2, 0, 1)
@@ -137,22 +141,30 @@
     name, zone : str
         Of the VM.
     callers, readiness, registry, links : str
-        Addresses for callers, for the platform's question whether it is ready, for
-        the target's heartbeats, and for other daemons.
+        Addresses for callers, for the platform's readiness checks, for the target's
+        heartbeats, and for links from other daemons.
     links_listen : str
         As for a control VM.
     target : str
         Address of the target.
     service : str
         Service of the target.
+    metrics : str
+        Address of the metrics page; empty for none.
     seeds : list of str
-        Addresses for operators' orders of some control VMs.
+        ``operators`` addresses of some control VMs.
     drain_s : float
-        After a target said that it leaves, it gets nothing new from then on.
+        Time after a target announced that it drains, from which on it gets no new
+        requests.
     zone_out_s : float
-        After its availability zone was taken out, a target gets nothing from then on.
+        Time after a target's availability zone was taken out, from which on it gets no
+        requests.
     grace_s : float
         Time from SIGTERM to SIGKILL.
+    lease : FleetLeaseSettings
+        Leases of targets.
+    budget : BudgetSettings
+        Limit of retries.
     """
 
     name: str = _text()
--- a/tamarackhaven/fleet/_state.py
+++ b/tamarackhaven/fleet/_state.py
@@ -1,7 +1,7 @@
 """The replicated state of a fleet: configuration, zones taken out, owners of keys.
 
-Every command is decided from the state at its own index alone, so that all members
-reach the same outcome. Pure.
+The outcome of a command depends only on the state at its own log index, so all members
+reach the same one. Pure.
 """
 
 import collections
@@ -17,20 +17,20 @@
 from tamarackhaven.fleet._model import KeyRange
 from tamarackhaven.routing import Configuration, Edit, check, edited
 
-# An operator sends an order again for seconds, not days; this is some hours of
-# changes at the busiest rate that the users name.
+# Operators repeat an order for seconds, not days; this covers some hours of changes at
+# the highest rate that users state.
 MAX_ACCEPTED_DIGESTS = 4096
-# Former configurations and owners, so that a daemon whose link broke is sent only what
-# it missed. It looks for the leader for a few seconds at most, and the busiest changes
-# come some ten times a second.
+# Former configurations and owners are kept so that a daemon whose link broke is sent
+# only what it missed. It looks for the leader for a few seconds at most, and the most
+# frequent changes occur about ten times a second.
 MAX_FORMER_VALUES = 64
 
 
 @attrs.frozen
 class ReplaceConfiguration:
-    """Put a whole configuration in place of version ``base``.
+    """Replace version ``base`` by a whole configuration.
 
-    ``digest`` stands for the order's exact content, to know it when it comes again.
+    ``digest`` identifies the order's exact content, to recognize a repeated order.
     """
 
     base: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class EditConfiguration:
-    """Change named items of version ``base``."""
+    """Change named items of version ``base``; ``digest`` identifies the order."""
 
     base: int
     edit: Edit
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class SetZoneOut:
-    """Take an availability zone out, or in again."""
+    """Take an availability zone out, or put it back in."""
 
     zone: str
     is_out: bool
@@ -57,16 +57,16 @@
 
 @attrs.frozen
 class AssignKeys:
-    """Give ranges of a service's keys to new owners.
+    """Assign ranges of a service's keys to new owners.
 
     Parameters
     ----------
     ranges : tuple of KeyRange
-        With owner and handover; the fence is chosen when the command is applied.
+        With owner and handover; the fence is set when the command is applied.
     expected : tuple of KeyRange
         Ranges as the leader saw them; the command is void if any has changed.
     cause : str
-        For the decision's record.
+        Reason, for the log.
     """
 
     service: str
@@ -80,16 +80,16 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of a command.
+    """The result of applying a command.
 
     Parameters
     ----------
     kind : ErrorKind or None
-        None if it is in force.
+        Error for which it was refused, None if it was applied.
     detail : str
-        For people.
+        Explanation of the error, for people.
     is_repeat : bool
-        Whether it had been accepted before.
+        Whether the same order had been accepted before.
     """
 
     kind: ErrorKind | None = None
@@ -99,7 +99,7 @@
 
 @attrs.frozen
 class _Saved:
-    """The whole state, as a snapshot holds it."""
+    """The whole state, as stored in a snapshot."""
 
     configuration: Configuration
     configuration_index: int
@@ -126,22 +126,22 @@
 
 
 def decode(data):
-    """Return the ``Command`` that a log entry holds."""
+    """Return the ``Command`` of a log entry's bytes."""
     return _CONVERTER.structure(msgpack.unpackb(data), Command)
 
 
 class _FormerValues(collections.OrderedDict):
-    """Former values; the oldest is forgotten first."""
+    """The newest ``MAX_FORMER_VALUES`` former values."""
 
     def keep(self, key, value):
-        """Remember a value that is present now."""
+        """Add a present value; the oldest one is dropped at the limit."""
         self[key] = value
         if len(self) > MAX_FORMER_VALUES:
             self.popitem(last=False)
 
 
 class FleetState:
-    """The state after a number of log entries."""
+    """The state after the log entries that were applied to it."""
 
     def __init__(self):
         self.configuration = Configuration()
@@ -152,20 +152,21 @@
         self.index_by_service = {}
         self._last_fence = 0
         self._version_by_digest = collections.OrderedDict()
-        # Not part of a snapshot: who has no former state sends the present one whole.
+        # Not part of a snapshot: without former values, the present ones are sent
+        # whole.
         self._configuration_by_index = _FormerValues()
         self._ranges_by_service_and_index = _FormerValues()
 
     def configuration_at(self, index):
-        """Return the configuration that came into force at ``index``, None if gone."""
+        """Return the configuration applied at log ``index``, None if not kept."""
         return self._configuration_by_index.get(index)
 
     def ranges_at(self, service, index):
-        """Return the owners of a service's keys as of ``index``, None if gone."""
+        """Return a service's ranges as set at log ``index``, None if not kept."""
         return self._ranges_by_service_and_index.get((service, index))
 
     def save(self):
-        """Return the state as bytes."""
+        """Return the state as the bytes of a snapshot."""
         saved = _Saved(
             self.configuration,
             self.configuration_index,
@@ -180,7 +181,7 @@
 
     @classmethod
     def restored(cls, data):
-        """Return the state that ``save`` gave."""
+        """Return the state from the bytes that ``save`` returned."""
         saved = _CONVERTER.structure(msgpack.unpackb(data), _Saved)
         state = cls()
         state.configuration = saved.configuration
@@ -194,7 +195,7 @@
         return state
 
     def apply(self, index, command):
-        """Carry out a command; return its ``Outcome``."""
+        """Apply a command at log ``index``; return its ``Outcome``."""
         try:
             return self._apply(command, index)
         except TamarackhavenError as error:
@@ -215,9 +216,9 @@
         )
 
     def _set_configuration(self, command, configuration, index):
-        # Failure: an operator loses the acknowledgement and sends the order again,
-        # perhaps after other changes. Symptom: it hears of a conflict with its own
-        # change. Enough: an order is known by its exact content.
+        # An operator that misses the acknowledgement repeats the order, perhaps after
+        # other changes, and would be told of a conflict with its own change. A repeated
+        # order is recognized by the digest of its exact content.
         if command.digest in self._version_by_digest:
             return Outcome(is_repeat=True)
         if command.base != self.configuration.version:
@@ -239,10 +240,10 @@
             self._version_by_digest.popitem(last=False)
 
     def _add_sharded_services(self, index):
-        """Start the key ranges of new sharded services.
+        """Add key ranges for new sharded services.
 
-        Those of a service that was removed stay: it may come back, and a fencing
-        token must never be given twice.
+        The ranges of a removed service stay: it may be added again, and a fencing token
+        must never be issued twice.
         """
         for service in self.configuration.services:
             if service.sharded and service.name not in self.ranges_by_service:
@@ -270,11 +271,12 @@
             raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, command.service)
         if not set(command.expected) <= set(ranges):
             raise TamarackhavenError(ErrorKind.STALE_GRANT, "the ranges have changed")
-        # Failure: a leader names a key twice in one command. Symptom: two targets get
-        # it with one fencing token. Enough: no such command is carried out.
+        # If a leader's command contained a key twice, two targets would get it with the
+        # same fencing token.
         if _ranges.has_overlap(command.ranges):
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, "a key stands twice")
-        # One token for all ranges of a command: it is above every earlier one.
+        # All ranges of a command share one token, which is higher than every earlier
+        # one.
         self._last_fence += 1
         new = [attrs.evolve(each, fence=self._last_fence) for each in command.ranges]
         self._set_ranges(command.service, _ranges.assigned(ranges, new), index)
--- a/tamarackhaven/fleet/control_vm.py
+++ b/tamarackhaven/fleet/control_vm.py
@@ -1,4 +1,4 @@
-"""The process of a control VM."""
+"""Public interface of a control VM's process."""
 
 from tamarackhaven.fleet._control import FleetControl, NotLeading
 
--- a/tamarackhaven/fleet/process.py
+++ b/tamarackhaven/fleet/process.py
@@ -29,8 +29,8 @@
     path : str
         Settings file, TOML.
     make_api : callable
-        ``make_api(control, port, log)`` gives an object whose ``handle`` answers
-        operators.
+        ``make_api(control, port, log)`` returns an object whose ``handle`` answers
+        operators' requests.
     """
     return run_process(lambda: _main(path, make_api))
 
