--- a/tamarackhaven/fleet/_control.py
+++ b/tamarackhaven/fleet/_control.py
@@ -289,7 +289,7 @@
             return await asyncio.wait_for(future, READ_TIMEOUT_S)
         except TimeoutError as error:
             raise TamarackhavenError(
-                ErrorKind.NO_QUORUM, "no quorum answered in time", 0.2
+                ErrorKind.NO_QUORUM, "no quorum confirmed the leader in time", 0.2
             ) from error
 
     # Updates for daemons.
@@ -446,7 +446,7 @@
             return await asyncio.wait_for(future, self._settings.order_timeout_s)
         except TimeoutError as error:
             raise TamarackhavenError(
-                ErrorKind.CHANGE_UNCONFIRMED, "no quorum confirmed it in time"
+                ErrorKind.CHANGE_UNCONFIRMED, "no quorum confirmed the change in time"
             ) from error
 
     def _require_leadership(self):
@@ -478,7 +478,7 @@
         if has_too_few and waited_s < FOUNDING_TIMEOUT_S:
             raise TamarackhavenError(
                 ErrorKind.NO_QUORUM,
-                f"{voters} of {self._required_voters} voters",
+                f"{voters} of {self._required_voters} required voters",
                 0.2,
             )
         self._is_founded = True
--- a/tamarackhaven/fleet/_group_keeper.py
+++ b/tamarackhaven/fleet/_group_keeper.py
@@ -122,7 +122,9 @@
         try:
             await asyncio.wait_for(future, MEMBERSHIP_CHANGE_TIMEOUT_S)
         except (TamarackhavenError, TimeoutError) as error:
-            self._log.say("membership change waits", error=str(error), **log_fields)
+            self._log.say(
+                "membership change not confirmed", error=str(error), **log_fields
+            )
             return
         self._log.say("membership changed", **log_fields)
 
--- a/tamarackhaven/fleet/_growth.py
+++ b/tamarackhaven/fleet/_growth.py
@@ -80,12 +80,10 @@
         if silent_s_by_name[name] > SILENT_VOTER_TIMEOUT_S
     ]
     if learners and len(membership.voters) < required_voters:
-        return DueChange(Step("promote", learners[0]), "fewer voters than wanted")
+        return DueChange(Step("promote", learners[0]), "fewer voters than required")
     if learners and silent:
         gone = membership.by_name[max(silent, key=silent_s_by_name.get)]
-        return DueChange(
-            Step("remove", gone), "silent, and another member stands ready"
-        )
+        return DueChange(Step("remove", gone), "silent, and a learner can replace it")
     return _remove_silent_learner(membership, silent_s_by_name)
 
 
@@ -97,7 +95,7 @@
             # The member's disk is lost: another process uses its address under a new
             # name. The old name can't vote any more, but counts for every majority.
             return DueChange(
-                Step("remove", member), "its VM came back with an empty disk"
+                Step("remove", member), "its VM restarted with an empty disk"
             )
     member = Member(newcomer.name, newcomer.host, newcomer.port, 0, voter=False)
     return DueChange(Step("add", member), "asked to join")
--- a/tamarackhaven/fleet/_state.py
+++ b/tamarackhaven/fleet/_state.py
@@ -203,7 +203,7 @@
 
     @functools.singledispatchmethod
     def _apply(self, command, index):
-        raise TypeError(f"no command: {type(command).__name__}")
+        raise TypeError(f"unknown command type: {type(command).__name__}")
 
     @_apply.register
     def _(self, command: ReplaceConfiguration, index):
@@ -224,7 +224,8 @@
         if command.base != self.configuration.version:
             raise TamarackhavenError(
                 ErrorKind.VERSION_CONFLICT,
-                f"version {self.configuration.version} is in force, not {command.base}",
+                f"version {self.configuration.version} is in force,"
+                f" not base version {command.base}",
             )
         check(configuration, self.configuration.version)
         self.configuration = configuration
@@ -270,11 +271,15 @@
         if ranges is None:
             raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, command.service)
         if not set(command.expected) <= set(ranges):
-            raise TamarackhavenError(ErrorKind.STALE_GRANT, "the ranges have changed")
+            raise TamarackhavenError(
+                ErrorKind.STALE_GRANT, "the expected ranges have changed"
+            )
         # If a leader's command contained a key twice, two targets would get it with the
         # same fencing token.
         if _ranges.has_overlap(command.ranges):
-            raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, "a key stands twice")
+            raise TamarackhavenError(
+                ErrorKind.INVALID_RESOURCE, "the assigned ranges overlap"
+            )
         # All ranges of a command share one token, which is higher than every earlier
         # one.
         self._last_fence += 1
