--- a/tests/fleet/real_fleet.py
+++ b/tests/fleet/real_fleet.py
@@ -1,4 +1,4 @@
-"""Runs a test with a fleet of real processes, and ends them whatever happens."""
+"""Runs a test with a fleet of real processes, and always stops them."""
 
 import asyncio
 
--- a/tests/fleet/test_addresses.py
+++ b/tests/fleet/test_addresses.py
@@ -1,10 +1,10 @@
-"""Which addresses of control VMs a process remembers."""
+"""Limits and order of the control VM addresses that a process keeps."""
 
 from tamarackhaven.fleet._addresses import MAX_ADDRESSES, HeardAddresses
 
 
-def test_control_vms_long_gone_are_forgotten_before_those_heard_of_again():
-    # Guards against: every VM that ever stood in the group is dialled at each search.
+def test_least_recently_received_addresses_are_dropped_first():
+    # Guards against dialling every VM that was ever in the group at each search.
     heard = HeardAddresses()
     heard.add([("10.0.0.1", 7)])
     for number in range(MAX_ADDRESSES):
--- a/tests/fleet/test_control_leader.py
+++ b/tests/fleet/test_control_leader.py
@@ -1,4 +1,4 @@
-"""What a control VM does for reports while it leads, and once its term is over."""
+"""How a control VM handles reports while it leads, and after its term."""
 
 import asyncio
 import concurrent.futures
@@ -21,13 +21,13 @@
 TARGET = Target(LIFE, "i", 1, "owned", "z", "h", 1, 8, TargetPhase.READY)
 
 
-class Silent:
+class SilentLog:
     def say(self, sentence, **fields):
         pass
 
 
-class Leader:
-    """Consensus of a member that leads in ``term``, and confirms each read."""
+class LeadingConsensus:
+    """Consensus of a member that leads in ``term`` and confirms each read."""
 
     def __init__(self, term):
         self.term = term
@@ -37,7 +37,7 @@
         return Status("m", Role.LEADER, "m", self.term, 1, 1, Membership(()))
 
     def propose(self, command, term):
-        raise AssertionError("nothing is due")
+        raise AssertionError("unexpected proposal: no change is due")
 
     def read(self):
         self.reads += 1
@@ -67,14 +67,14 @@
         data_folder="unused",
         seeds=["127.0.0.1:1"],
     )
-    made = FleetControl(settings, Silent(), Metrics(), None)
-    made.consensus = Leader(term=1)
-    made._leadership = Leadership(1, 4.0, 0.0)
-    return made
+    control_vm = FleetControl(settings, SilentLog(), Metrics(), None)
+    control_vm.consensus = LeadingConsensus(term=1)
+    control_vm._leadership = Leadership(1, 4.0, 0.0)
+    return control_vm
 
 
 def grants_after_report(control, change):
-    """Report on a new link, then let ``change()`` happen before a quorum confirms."""
+    """Return the grants for a report if ``change()`` precedes the confirmation."""
     link = Link()
 
     async def main():
@@ -93,18 +93,20 @@
     assert grant.grant.term == 1
 
 
-def test_a_lead_that_was_lost_and_won_again_grants_nothing_by_its_former_leases(
+def test_a_leader_reelected_before_confirmation_grants_nothing_from_its_former_term(
     control,
 ):
-    # Guards against: two owners, by leases that don't know of another leader's grants.
-    def win_again():
+    # The member loses and regains leadership before a quorum has confirmed it. Its
+    # leases don't include grants that another leader made in between, so granting by
+    # them could give keys two owners.
+    def reelect():
         control.consensus.term = 3
 
-    assert grants_after_report(control, win_again) == []
+    assert grants_after_report(control, reelect) == []
 
 
-def test_a_report_that_comes_after_the_lead_was_won_again_is_not_taken(control):
-    # Guards against: keys moved by the leases of a former term.
+def test_a_report_received_after_a_reelection_closes_the_link(control):
+    # Guards against moving keys by the leases of a former term.
     control.consensus.term = 3
     link = Link()
     control._session_by_link[link] = Session("d", link)
@@ -112,9 +114,8 @@
     assert link.is_aborted
 
 
-def test_reports_of_one_daemon_that_wait_together_are_answered_once(control):
-    # Guards against: a daemon that reports without a pause, and a leader that has time
-    # for nothing else.
+def test_queued_reports_of_one_daemon_get_one_answer(control):
+    # Guards against a leader that is saturated by one daemon reporting without a pause.
     link = Link()
 
     async def main():
@@ -130,10 +131,10 @@
     assert control.consensus.reads == 1
 
 
-def test_releases_do_not_make_the_leader_look_at_all_keys_without_a_pause(control):
-    # Guards against: a leader's processor that is full while many daemons release keys.
-    looks = []
-    control._leadership.tick = lambda state, now: looks.append(now) or []
+def test_releases_do_not_make_the_leader_decide_without_a_pause(control):
+    # Guards against a leader's CPU that is saturated while many daemons release keys.
+    decisions = []
+    control._leadership.tick = lambda state, now: decisions.append(now) or []
     link = Link()
 
     async def main():
@@ -149,4 +150,4 @@
         return number
 
     assert asyncio.run(main()) > 20
-    assert 1 <= len(looks) <= 11
+    assert 1 <= len(decisions) <= 11
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: founding, keys, restarts, kills.
+"""Real processes on loopback: start of the group, keys, restarts, kills.
 
 Each test starts three control VMs and a daemon beside each stand-in target.
 """
@@ -12,11 +12,11 @@
 from standin.fleet import call
 from tests.fleet import real_fleet
 
-NETS = itertools.count(41)
+NETWORK_NUMBERS = itertools.count(41)
 
 
 def run(test, tmp_path, services=("owned", "owned", "shared")):
-    real_fleet.run(test, (tmp_path, services, next(NETS)))
+    real_fleet.run(test, (tmp_path, services, next(NETWORK_NUMBERS)))
 
 
 def owners(fleet, key):
@@ -27,16 +27,16 @@
     async def test(fleet):
         for key in range(0, 65536, 4099):
             (owner,) = owners(fleet, key)
-            for at in range(3):
-                answer = await fleet.ask("/owned/", key, at)
+            for daemon in range(3):
+                answer = await fleet.ask("/owned/", key, daemon)
                 assert answer.body.decode() == f"{owner.name} /owned/x b"
 
     run(test, tmp_path)
 
 
-def test_a_killed_leader_costs_no_key_its_owner(tmp_path):
-    # The leading control VM is killed. Targets keep what they hold, another one leads
-    # within a second, and orders are taken again.
+def test_no_key_loses_its_owner_when_the_leader_is_killed(tmp_path):
+    # The leading control VM is killed. Targets keep their keys, another control VM is
+    # elected within a second, and orders are accepted again.
     async def test(fleet):
         before = {key: owners(fleet, key)[0] for key in range(0, 65536, 4099)}
         leader = await fleet.leader()
@@ -71,8 +71,8 @@
 
 
 def test_keys_of_a_crashed_target_go_to_the_other_one(tmp_path):
-    # A target crashes and its port refuses. Its keys are served by the other one
-    # long before the lease is over, and never by both.
+    # A target crashes and its port refuses connections. The other one serves its keys
+    # long before the lease expires, and never do both.
     async def test(fleet):
         key = next(k for k in range(65536) if owners(fleet, k)[0] is fleet.targets[0])
         await fleet.targets[0].stop()
@@ -86,7 +86,7 @@
     run(test, tmp_path)
 
 
-def test_a_draining_target_hands_its_keys_over_without_a_refusal(tmp_path):
+def test_keys_of_a_draining_target_move_without_a_failed_request(tmp_path):
     async def test(fleet):
         key = next(k for k in range(65536) if owners(fleet, k)[0] is fleet.targets[0])
         fleet.targets[0].state = "draining"
@@ -100,7 +100,7 @@
     run(test, tmp_path)
 
 
-def test_a_stop_cuts_nothing_that_runs(tmp_path):
+def test_a_stopping_daemon_finishes_running_requests(tmp_path):
     async def test(fleet):
         fleet.targets[2].work_s = 1.0
         waiting = [asyncio.ensure_future(fleet.ask("/shared/", None, 2)) for _ in "abc"]
@@ -112,9 +112,9 @@
     run(test, tmp_path)
 
 
-def test_a_booking_whose_daemon_is_killed_runs_once_and_is_not_called_not_run(tmp_path):
-    # The daemon beside the target is killed while the target works on a booking. The
-    # caller must not hear that it did not run, since it may have.
+def test_a_booking_whose_daemon_is_killed_runs_once_and_may_have_run(tmp_path):
+    # The target's daemon is killed while the target runs a booking. The caller must not
+    # be told that it did not run, since it may have.
     async def test(fleet):
         fleet.targets[2].work_s = 0.5
         waiting = asyncio.ensure_future(fleet.ask("/shared/", None, 0, "booking"))
@@ -130,8 +130,8 @@
     run(test, tmp_path)
 
 
-def test_what_was_accepted_outlives_the_death_of_all(tmp_path):
-    # All control VMs are killed right after an order was accepted, and start again.
+def test_an_accepted_order_survives_a_kill_of_all_control_vms(tmp_path):
+    # All control VMs are killed right after an order was accepted, and restarted.
     async def test(fleet):
         answer = await fleet.order("/api/evacuation/zone-x/start")
         assert answer.status == 200
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "DELETE"])
-def test_unknown_calls_are_refused(tmp_path, method):
+def test_calls_of_unknown_paths_are_refused(tmp_path, method):
     async def test(fleet):
         host = fleet.control_hosts[0]
         answer = await call(host, 18620, method, "/api/none", [("Host", "x")])
--- a/tests/fleet/test_group_keeper.py
+++ b/tests/fleet/test_group_keeper.py
@@ -1,4 +1,4 @@
-"""What a control VM does to come into its group, and what it says of it."""
+"""How a control VM joins its group, handles join requests, and logs both."""
 
 import asyncio
 import concurrent.futures
@@ -49,7 +49,7 @@
 
 
 @attrs.define
-class Says:
+class RecordingLog:
     lines: list = attrs.field(factory=list)
 
     def say(self, sentence, **fields):
@@ -68,45 +68,45 @@
 
 def make_manager(consensus, links=None, log=None):
     return MembershipManager(
-        settings(), 3, consensus, links or FakeLinks(), log or Says(), 0.0
+        settings(), 3, consensus, links or FakeLinks(), log or RecordingLog(), 0.0
     )
 
 
-def a_newcomer():
+def newcomer_consensus():
     return FakeConsensus(NEWCOMER.name, Membership(()), "", Role.LEARNER)
 
 
-def a_follower():
+def follower_consensus():
     return FakeConsensus("10.0.0.2:7", GROUP, "10.0.0.1:7", Role.FOLLOWER)
 
 
-def test_the_log_tells_whom_a_newcomer_asks():
-    log = Says()
-    newcomer = a_newcomer()
+def test_a_newcomers_join_request_is_logged_with_its_addresses():
+    log = RecordingLog()
+    newcomer = newcomer_consensus()
     make_manager(newcomer, log=log).ask_to_join(newcomer.status(), 1e9)
     ((sentence, fields),) = log.lines
     assert sentence == "asks to join"
     assert fields["addresses"] == ["10.0.0.2:7", "10.0.0.3:7"]
 
 
-def test_the_log_tells_who_asked_a_member_that_does_not_lead():
-    log = Says()
-    make_manager(a_follower(), log=log).handle_join_request(NEWCOMER, 1e9)
+def test_a_follower_logs_join_requests_and_its_leader():
+    log = RecordingLog()
+    make_manager(follower_consensus(), log=log).handle_join_request(NEWCOMER, 1e9)
     ((sentence, fields),) = log.lines
     assert sentence == "asked to join"
     assert not fields["leads"]
     assert fields["leader"] == "10.0.0.1:7"
 
 
-def test_whoever_is_asked_names_all_control_vms_that_it_knows():
-    # Guards against: a follower is asked by a newcomer and keeps it to itself.
-    hint = make_manager(a_follower()).handle_join_request(NEWCOMER, 1e9)
+def test_a_join_request_is_answered_with_all_known_control_vms():
+    # Guards against a newcomer that asks a follower and never learns of the leader.
+    hint = make_manager(follower_consensus()).handle_join_request(NEWCOMER, 1e9)
     assert ("10.0.0.1", 7) in hint.control
     assert set(hint.control) >= {(each.host, 7) for each in GROUP.members}
 
 
-def test_a_newcomer_asks_whom_it_hears_of_without_a_pause():
-    newcomer = a_newcomer()
+def test_a_newcomer_asks_newly_received_addresses_at_once():
+    newcomer = newcomer_consensus()
     links = FakeLinks()
     manager = make_manager(newcomer, links)
     manager.ask_to_join(newcomer.status(), 1e9)
@@ -116,8 +116,8 @@
 
 
 def test_new_seeds_in_the_settings_are_asked():
-    # Guards against: a newcomer whose first seeds are all gone waits for ever.
-    newcomer = a_newcomer()
+    # Guards against a newcomer that never joins because its first seeds are all gone.
+    newcomer = newcomer_consensus()
     links = FakeLinks()
     manager = make_manager(newcomer, links)
     manager.ask_to_join(newcomer.status(), 1e9)
@@ -126,8 +126,8 @@
     assert links.asked[1] == {("10.0.0.7", 7)}
 
 
-def test_a_vm_that_came_back_twice_is_known_by_its_newest_name_only():
-    # Guards against: the name of a life before the last is added and removed in turn.
+def test_a_vm_that_restarted_twice_is_added_by_its_newest_name_only():
+    # Guards against adding and removing an outdated name of a VM in turn.
     leader = FakeConsensus("10.0.0.1:7", GROUP, "10.0.0.1:7", Role.LEADER)
     manager = make_manager(leader)
     manager.handle_join_request(JoinGroup(f"{OWN}:7/older", OWN, 7), 1e9)
@@ -136,9 +136,9 @@
     assert [step.member.name for step in leader.steps] == [NEWCOMER.name]
 
 
-def test_a_leader_that_steps_down_has_been_without_one_since_then():
-    # Guards against: it asks to be let in at once, and its log says for how long it was
-    # alone, counted from its start.
+def test_a_deposed_leader_is_leaderless_only_since_it_stepped_down():
+    # If the time without a leader counted from the start of the process, a leader would
+    # ask for membership as soon as it's deposed, and log a wrong time.
     leader = FakeConsensus("10.0.0.1:7", GROUP, "10.0.0.1:7", Role.LEADER)
     links = FakeLinks()
     manager = make_manager(leader, links)
@@ -150,10 +150,10 @@
     assert len(links.asked) == 1
 
 
-def test_a_reload_changes_the_seeds_of_a_control_vm_and_not_its_leases():
-    # Guards against: a leader grants leases of another length than daemons count by.
-    control = FleetControl(settings(), Says(), None, None)
-    newcomer = a_newcomer()
+def test_a_reload_changes_the_seeds_of_a_control_vm_but_not_its_leases():
+    # Guards against a leader whose leases differ in length from those of the daemons.
+    control = FleetControl(settings(), RecordingLog(), None, None)
+    newcomer = newcomer_consensus()
     links = FakeLinks()
     control._membership_manager = make_manager(newcomer, links)
     lease = FleetLeaseSettings(heartbeat_s=0.2)
--- a/tests/fleet/test_group_repair_random.py
+++ b/tests/fleet/test_group_repair_random.py
@@ -1,7 +1,8 @@
-"""Random histories of lost, replaced and restarted control VMs, without processes.
+"""Random sequences of lost, replaced and restarted control VMs, without processes.
 
-The real keeper, search and consensus of each VM over plain lists: after each loss that
-the group should bear, it must be whole again before the next one.
+Runs the real membership manager, search and consensus of each VM over a simulated
+network. After each loss that the group should survive, it must have all its voters
+again before the next one.
 """
 
 import asyncio
@@ -23,13 +24,13 @@
 from tests.raft_group import Disk, Group
 
 PORT = 7
-LOSSES = 2
-REQUIRED_VOTERS = _growth.count_required_voters(LOSSES)
-CATCH_UP_S = 4.0
+TOLERATED_LOSSES = 2
+REQUIRED_VOTERS = _growth.count_required_voters(TOLERATED_LOSSES)
+REPAIR_TIMEOUT_S = 4.0
 STEP_S = 0.05
-TURN_S = 0.1
-EVENTS = 6
-SEEDS = 3
+TICK_INTERVAL_S = 0.1
+EVENT_COUNT = 6
+SEED_COUNT = 3
 RAFT_SETTINGS = RaftSettings(
     heartbeat_ms=100,
     election_ms=500,
@@ -41,13 +42,13 @@
 
 
 @attrs.define
-class Silent:
+class SilentLog:
     def say(self, sentence, **fields):
         pass
 
 
-class Vm:
-    """One control VM; also the links and the consensus that its keeper sees."""
+class ControlVm:
+    """One control VM; also serves as its manager's links and consensus."""
 
     def __init__(self, world, host, name, seeds):
         self.world = world
@@ -63,7 +64,7 @@
         )
         now = world.group.now
         self.manager = MembershipManager(
-            settings, REQUIRED_VOTERS, self, self, Silent(), now
+            settings, REQUIRED_VOTERS, self, self, SilentLog(), now
         )
 
     @property
@@ -98,26 +99,26 @@
                 hint = asked.manager.handle_join_request(request, self.world.group.now)
                 self.manager.add_addresses(hint.control)
 
-    def turn(self, loop):
+    def tick(self, loop):
         """Do what the process does every tenth of a second."""
         status = self.status()
         now = self.world.group.now
         if status.role is Role.LEADER:
-            self._greet(status)
+            self._send_address(status)
             loop.run_until_complete(self.manager.make_due_change(status, now))
         else:
             self.manager.ask_to_join(status, now)
 
-    def _greet(self, status):
-        """Tell whoever answers at a member's address who speaks."""
+    def _send_address(self, status):
+        """Give this VM's address to the VMs at the members' addresses."""
         for member in status.membership.members:
-            greeted = self.world.vm_by_host.get(member.host)
-            if greeted is not None and self.world.is_reachable(self, greeted):
-                greeted.manager.add_addresses([(self.host, PORT)])
+            receiver = self.world.vm_by_host.get(member.host)
+            if receiver is not None and self.world.is_reachable(self, receiver):
+                receiver.manager.add_addresses([(self.host, PORT)])
 
 
 class World(Group):
-    """Control VMs by host; messages to names that live nowhere are lost."""
+    """Control VMs by host; messages to names that aren't running are lost."""
 
     def __init__(self, seed):
         super().__init__(seed=seed, settings=RAFT_SETTINGS)
@@ -125,22 +126,22 @@
         self.rng = random.Random(seed)
         self.loop = asyncio.new_event_loop()
         self.hosts = []
-        self.listed = []
-        self.lives = 0
+        self.seed_hosts = []
+        self.disk_count = 0
         self.vm_by_host = {}
         founding = [self._new_host() for _ in range(REQUIRED_VOTERS)]
         self.first = _growth.founders([(host, PORT) for host in founding])
         for host in founding:
             name = f"{host}:{PORT}"
             self.disks[name] = Disk(self.first)
-            self._begin(host, name, founding[:SEEDS])
+            self._begin(host, name, founding[:SEED_COUNT])
 
     def _new_host(self):
         self.hosts.append(f"10.0.0.{len(self.hosts) + 1}")
         return self.hosts[-1]
 
     def _begin(self, host, name, seeds):
-        self.vm_by_host[host] = Vm(self, host, name, seeds)
+        self.vm_by_host[host] = ControlVm(self, host, name, seeds)
         self.start(name)
 
     def deliver(self, message, syncs=True):
@@ -150,11 +151,11 @@
                 vm.last_received_s_by_name[message.sender] = self.now
 
     def pass_time(self, seconds):
-        for _ in range(round(seconds / TURN_S)):
-            self.run(TURN_S, STEP_S)
+        for _ in range(round(seconds / TICK_INTERVAL_S)):
+            self.run(TICK_INTERVAL_S, STEP_S)
             for vm in self.vm_by_host.values():
                 if vm.node is not None:
-                    vm.turn(self.loop)
+                    vm.tick(self.loop)
             self.settle()
 
     def is_reachable(self, vm, other):
@@ -168,7 +169,7 @@
         self.crash(vm.name)
         self._begin_empty(host)
 
-    def lose_for_good(self, host):
+    def lose_vm(self, host):
         vm = self.vm_by_host.pop(host)
         self.crash(vm.name)
         self._begin_empty(self._new_host())
@@ -185,7 +186,7 @@
         self.heal()
 
     def power_off(self):
-        """All lose power at once and come back, each when it will."""
+        """Stop all VMs at once, and restart them in random order with random delays."""
         for vm in self.vm_by_host.values():
             if vm.node is not None:
                 self.crash(vm.name)
@@ -196,19 +197,19 @@
             self.pass_time(self.rng.choice([0.0, 0.2]))
 
     def _begin_empty(self, host):
-        self.lives += 1
-        name = f"{host}:{PORT}/{self.lives}"
+        self.disk_count += 1
+        name = f"{host}:{PORT}/{self.disk_count}"
         self.disks[name] = Disk(Membership(()))
         self._begin(host, name, self._seeds())
 
     def _seeds(self):
-        return self.rng.sample(self.listed, SEEDS)
+        return self.rng.sample(self.seed_hosts, SEED_COUNT)
 
-    # The check.
+    # Check.
 
-    def check_whole(self):
+    def check_all_voters(self):
         leader = self.leader()
-        assert leader is not None, "nobody leads"
+        assert leader is not None, "the group has no leader"
         voters = set(self.nodes[leader].membership.voters)
         assert voters == {vm.name for vm in self.vm_by_host.values()}
         assert len(voters) == REQUIRED_VOTERS
@@ -216,29 +217,29 @@
 
 LOSS_BY_NAME = {
     "disk": World.lose_disk,
-    "gone": World.lose_for_good,
+    "gone": World.lose_vm,
     "restart": World.restart,
     "cut": World.cut_off,
 }
-POWER_LOSS_PART = 0.25
+POWER_LOSS_FRACTION = 0.25
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_group_is_whole_some_seconds_after_any_losses_that_it_should_bear(seed):
-    # Guards against: a newcomer that never becomes a voter, in some order of losses.
+def test_a_group_has_all_its_voters_again_after_any_tolerated_losses(seed):
+    # Guards against a newcomer that never becomes a voter after some order of losses.
     world = World(seed)
     try:
-        world.pass_time(CATCH_UP_S)
-        for _ in range(EVENTS):
-            # Settings tell control VMs that ran before the losses.
-            world.listed = sorted(world.vm_by_host)
-            count = world.rng.randint(1, LOSSES)
+        world.pass_time(REPAIR_TIMEOUT_S)
+        for _ in range(EVENT_COUNT):
+            # Seeds are taken from the control VMs that ran before the losses.
+            world.seed_hosts = sorted(world.vm_by_host)
+            count = world.rng.randint(1, TOLERATED_LOSSES)
             for host in world.rng.sample(sorted(world.vm_by_host), count):
                 loss = world.rng.choice(sorted(LOSS_BY_NAME))
                 LOSS_BY_NAME[loss](world, host)
-            if world.rng.random() < POWER_LOSS_PART:
+            if world.rng.random() < POWER_LOSS_FRACTION:
                 world.power_off()
-            world.pass_time(CATCH_UP_S)
-            world.check_whole()
+            world.pass_time(REPAIR_TIMEOUT_S)
+            world.check_all_voters()
     finally:
         world.loop.close()
--- a/tests/fleet/test_growth.py
+++ b/tests/fleet/test_growth.py
@@ -1,4 +1,4 @@
-"""How the control group founds itself, grows and replaces members."""
+"""How the control group starts, grows and replaces members."""
 
 import itertools
 
@@ -16,10 +16,12 @@
 SEEDS = [("10.0.0.1", 7), ("10.0.0.2", 7), ("10.0.0.3", 7)]
 
 
-def apply_due_changes(membership, newcomers=(), silent=(), required_voters=5, most=20):
-    """Carry out the changes that are due; return the membership and their actions."""
+def apply_due_changes(
+    membership, newcomers=(), silent=(), required_voters=5, max_changes=20
+):
+    """Apply all due changes; return the membership and the changes' actions."""
     actions = []
-    for index in range(most):
+    for index in range(max_changes):
         silent_s = {name: 99.0 * (name in silent) for name in membership.by_name}
         due = next_change(membership, newcomers, silent_s, required_voters)
         if due is None:
@@ -34,7 +36,7 @@
     return Newcomer(name or f"{host}:7/x", host, 7)
 
 
-def test_founders_agree_in_whatever_order_they_are_told():
+def test_the_first_membership_does_not_depend_on_the_order_of_seeds():
     first = founders(SEEDS)
     assert len(first.voters) == 3
     for order in itertools.permutations(SEEDS):
@@ -44,30 +46,32 @@
 @pytest.mark.parametrize(
     ("losses", "required_voters"), [(0, 3), (1, 3), (2, 5), (3, 7)]
 )
-def test_the_tolerated_losses_decide_how_many_vote(losses, required_voters):
+def test_tolerated_losses_determine_the_number_of_voters(losses, required_voters):
     assert count_required_voters(losses) == required_voters
 
 
-def test_the_group_grows_one_at_a_time_to_the_voters_wanted():
+def test_the_group_grows_one_member_at_a_time_to_the_required_voters():
     grown, actions = apply_due_changes(
         founders(SEEDS), [newcomer(4), newcomer(5), newcomer(6)]
     )
     assert len(grown.voters) == 5
-    assert len(grown.members) == 6, "the sixth stands ready without a vote"
+    assert len(grown.members) == 6, "the sixth member stays a learner"
     assert [action for action, _ in actions].count("promote") == 2
 
 
-def test_a_member_with_a_lost_disk_comes_back_as_a_new_one():
-    # A VM loses its disk and asks to join from its old address under a new name. Its
-    # old name can never vote again, but would count for every majority.
-    back = newcomer(1, "10.0.0.1:7/new")
-    grown, actions = apply_due_changes(founders(SEEDS), [back], required_voters=3)
+def test_a_member_with_a_lost_disk_is_replaced_under_a_new_name():
+    # A VM loses its disk and asks to join from its old address under a new name. The
+    # old name can't vote any more, but would count for every majority.
+    replacement = newcomer(1, "10.0.0.1:7/new")
+    grown, actions = apply_due_changes(
+        founders(SEEDS), [replacement], required_voters=3
+    )
     assert "10.0.0.1:7" not in grown.by_name
     assert "10.0.0.1:7/new" in grown.voters
     assert actions[0] == ("remove", "10.0.0.1:7")
 
 
-def test_a_member_gone_for_good_is_replaced_by_one_that_stands_ready():
+def test_a_permanently_lost_member_is_replaced_by_a_learner():
     five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
     replaced, actions = apply_due_changes(five, [newcomer(6)], silent={"10.0.0.2:7"})
     assert "10.0.0.2:7" not in replaced.by_name
@@ -75,21 +79,21 @@
     assert actions[-1] == ("promote", "10.0.0.6:7/x")
 
 
-def test_a_silent_member_stays_if_nobody_could_replace_it():
+def test_a_silent_member_stays_if_no_learner_can_replace_it():
     five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
     same, actions = apply_due_changes(five, silent={"10.0.0.2:7"})
     assert same == five and not actions
 
 
-def test_two_lost_at_once_are_replaced_without_a_majority_of_the_lost():
+def test_two_lost_members_are_replaced_without_losing_the_quorum():
     five, _ = apply_due_changes(founders(SEEDS), [newcomer(4), newcomer(5)])
     lost = {"10.0.0.1:7", "10.0.0.2:7"}
-    back = [newcomer(1, "10.0.0.1:7/new"), newcomer(2, "10.0.0.2:7/new")]
+    replacements = [newcomer(1, "10.0.0.1:7/new"), newcomer(2, "10.0.0.2:7/new")]
     present = set(five.by_name) - lost
     membership = five
     for index in range(20):
         silent_s = {name: 99.0 * (name in lost) for name in membership.by_name}
-        due = next_change(membership, back, silent_s, 5)
+        due = next_change(membership, replacements, silent_s, 5)
         if due is None:
             break
         membership = changed(membership, due.step, index + 1, True)
@@ -99,8 +103,10 @@
     assert present < set(membership.voters)
 
 
-def test_a_learner_that_never_came_is_forgotten():
+def test_a_learner_that_never_responds_is_removed():
     learner = Member("late", "10.0.0.9", 7, 0, voter=False)
     membership = Membership((*founders(SEEDS).members, learner))
-    tidy, actions = apply_due_changes(membership, silent={"late"}, required_voters=3)
+    remaining, actions = apply_due_changes(
+        membership, silent={"late"}, required_voters=3
+    )
     assert actions == [("remove", "late")]
--- a/tests/fleet/test_leadership.py
+++ b/tests/fleet/test_leadership.py
@@ -1,4 +1,4 @@
-"""What a leader grants and moves, with reports and times made by hand."""
+"""A leader's grants and moves, with scripted reports and times."""
 
 import attrs
 import pytest
@@ -32,7 +32,7 @@
 
 
 class Group:
-    """A leader, its state, and daemons that report as told."""
+    """A leader, its state, and daemons whose reports the test scripts."""
 
     def __init__(self):
         self.state = FleetState()
@@ -60,7 +60,7 @@
         return commands
 
     def run(self, seconds, *targets, settled=None):
-        """Let time pass while targets report that they hold what they were granted."""
+        """Advance time while targets report that they hold what they were granted."""
         until = self.now + seconds
         while self.now < until:
             self.now += 0.1
@@ -88,16 +88,17 @@
     return Group()
 
 
-def test_the_first_owners_share_all_keys_in_several_ranges(group):
+def test_first_assignment_gives_each_target_several_ranges(group):
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     assert group.owners() == {a.life, b.life}
     assert len(group.owned(a)) == len(group.owned(b)) == 8
 
 
-def test_keys_of_a_silent_owner_go_on_only_after_its_lease(group):
-    # A VM loses power; its target may still run, and serves as long as it was told.
-    # Its keys must not be granted before the last thing it may have been told is over.
+def test_keys_of_a_silent_owner_are_reassigned_only_after_its_lease(group):
+    # A daemon stops reporting, but its target may still run and serve its keys until
+    # its newest grant expires. Granted to another target before, they'd have two
+    # owners.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.run(LEASE_S - 0.2, a)
@@ -107,8 +108,9 @@
 
 
 def test_a_daemon_that_restarts_within_the_lease_loses_no_key(group):
-    # A daemon is silent for two seconds while its process is replaced. Its target
-    # holds its keys all the while; moved away, they would be cold elsewhere.
+    # A daemon is silent for two seconds while its process restarts, and its target
+    # holds its keys all the time. If they moved away, the next owner would serve them
+    # cold.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     before = group.owned(b)
@@ -121,7 +123,7 @@
 
 
 def test_a_new_leader_waits_for_the_leases_of_the_former_one(group):
-    # The former leader granted something to a target that the new one never hears of.
+    # The former leader granted keys to a target that never reports to the new one.
     # Without the wait, its keys would have two owners.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
@@ -133,7 +135,7 @@
     assert group.owners() == {a.life}
 
 
-def test_an_ended_life_is_replaced_at_once(group):
+def test_keys_of_an_ended_life_are_reassigned_at_once(group):
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.report(attrs.evolve(a), ended_lives=(b.life,))
@@ -144,43 +146,43 @@
 def test_a_later_life_at_the_same_address_ends_the_earlier_one(group):
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
-    reborn = target("b", born_ms=2)
-    group.report(reborn)
+    restarted = target("b", born_ms=2)
+    group.report(restarted)
     group.tick()
     assert b.life not in group.owners()
-    # A report of the earlier life that was held up changes nothing.
+    # A delayed report of the earlier life has no effect.
     group.report(b)
     assert group.leader.leases.has_ended(b.life)
 
 
-def test_a_new_leader_knows_a_replaced_owner_by_its_place(group):
-    # All VMs lose power at once. The targets start again as other lives, and the new
-    # leader has never heard of the old ones. Nobody holds their keys, yet callers
-    # would hear that there is no owner until a whole lease has passed.
+def test_a_new_leader_recognizes_a_replaced_owner_by_its_daemon(group):
+    # All VMs lose power at once. The targets restart as other lives, and the new leader
+    # has no report of the old ones. No target holds their keys, yet callers would be
+    # told that there is no owner until a whole lease has passed.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.leader = Leadership(2, LEASE_S, group.now)
     group.grant_by_life.clear()
-    reborn = target("x", born_ms=9, host="a"), target("y", born_ms=9, host="b")
-    group.run(DISCOVERY_TIMEOUT_S + 0.2, *reborn)
-    assert group.owners() == {each.life for each in reborn}
+    restarted = target("x", born_ms=9, host="a"), target("y", born_ms=9, host="b")
+    group.run(DISCOVERY_TIMEOUT_S + 0.2, *restarted)
+    assert group.owners() == {each.life for each in restarted}
 
 
-def test_a_new_leader_that_has_heard_every_place_waits_for_nobody(group):
+def test_a_new_leader_stops_waiting_once_every_daemon_has_reported(group):
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.leader = Leadership(2, LEASE_S, group.now)
     group.grant_by_life.clear()
     first, second = target("x", born_ms=9, host="a"), target("y", born_ms=9, host="b")
     group.run(0.2, first)
-    assert group.owners() == {a.life, b.life}, "the second place may still come"
+    assert group.owners() == {a.life, b.life}, "the second daemon may still report"
     group.run(0.2, first, second)
     assert group.owners() == {first.life, second.life}
 
 
-def test_a_leaving_owner_hands_its_keys_over_before_it_loses_them(group):
-    # A target drains. Its keys go on once it has released them, with the token that
-    # spares the next owner a slow start.
+def test_a_draining_owner_keeps_its_keys_until_it_releases_them(group):
+    # A target drains. Its keys are reassigned once it has released them, with the
+    # handover token that saves the next owner a cold start.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     leaving = attrs.evolve(b, phase=TargetPhase.DRAINING)
@@ -189,7 +191,7 @@
     group.tick()
     grant = group.beat(leaving)
     assert grant.ranges == ()
-    assert group.owned(b) == before, "still held by its last heartbeat"
+    assert group.owned(b) == before, "its newest heartbeat still holds them"
     releases = tuple(Release(r.first, r.last, "token") for r in before)
     group.report(leaving, settled=grant.grant, releases=releases)
     group.tick()
@@ -197,9 +199,9 @@
     assert {r.handover for r in group.owned(a)} == {"", "token"}
 
 
-def test_a_release_is_believed_only_from_a_heartbeat_after_the_last_grant(group):
-    # The report says that the target holds nothing, but it was made before the target
-    # took the last grant. Believed, the keys would have two owners.
+def test_a_release_counts_only_from_a_heartbeat_after_the_last_grant(group):
+    # The report says that the target holds nothing, but it's from before the target
+    # received the last grant. If it counted, the keys would have two owners.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     leaving = attrs.evolve(b, phase=TargetPhase.DRAINING)
@@ -210,9 +212,10 @@
     assert b.life in group.owners()
 
 
-def test_a_move_whose_owner_dies_gives_each_key_once(group):
-    # A target joins, keys start to move to it, and the old owner dies before it has
-    # released them. The leader finds the same keys free for two reasons at once.
+def test_a_move_whose_owner_fails_assigns_each_key_once(group):
+    # A target joins, keys start to move to it, and the old owner fails before it has
+    # released them. The leader could assign the same keys twice in one command: as
+    # keys of an expired owner, and as keys of a finished move.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     c = target("c")
@@ -223,7 +226,7 @@
     assert group.owners() == {c.life}
 
 
-def test_a_zone_that_is_out_loses_its_keys(group):
+def test_targets_of_a_zone_that_is_out_lose_their_keys(group):
     a, b = target("a", zone="a"), target("b", zone="b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.state.zones_out = frozenset({"b"})
@@ -231,7 +234,7 @@
     assert group.owners() == {a.life}
 
 
-def test_a_target_that_joins_gets_a_share(group):
+def test_a_target_that_joins_gets_its_share_of_the_keys(group):
     a, b, c = target("a"), target("b"), target("c")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.run(3.0, a, b, c)
@@ -241,9 +244,9 @@
     assert min(key_counts) > 0.6 * 65536 / 3
 
 
-def test_one_silent_target_of_many_holds_up_nobody(group):
-    # One of ten targets is silent; its keys wait for its lease. Meanwhile a target
-    # joins: the others' keys must go on to it, it has nothing else to do.
+def test_one_silent_target_of_ten_does_not_stop_balancing(group):
+    # One of ten targets is silent, and its keys wait for its lease to expire. A target
+    # that joins meanwhile must get keys of the others instead of idling.
     many = [target(f"t{number}") for number in range(10)]
     group.run(4 * DISCOVERY_TIMEOUT_S, *many)
     joined = target("joined")
@@ -253,10 +256,10 @@
     assert group.owned(joined)
 
 
-def test_an_owner_that_comes_back_is_not_granted_what_was_just_proposed(group):
-    # An owner's lease is over, and its keys are proposed for the other target. Its
-    # daemon comes back before that is committed. Granted the keys once more, it would
-    # hold them together with the new owner.
+def test_an_owner_that_reports_again_is_not_granted_keys_of_an_open_change(group):
+    # An owner's lease expires, and its keys are proposed for the other target. Its
+    # daemon reports again before that is committed. If it were granted the keys once
+    # more, both targets would hold them.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.now += LEASE_S + 1.0
@@ -268,8 +271,9 @@
     assert sum(r.last - r.first + 1 for r in group.report(a).ranges) == 65536
 
 
-def test_a_change_on_its_way_is_not_proposed_again(group):
-    # Guards against: a disk that stalls for four seconds and a log full of repeats.
+def test_a_change_in_flight_is_not_proposed_again(group):
+    # Guards against a log full of repeated changes after a disk stalled for four
+    # seconds.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.now += LEASE_S + 1.0
@@ -286,8 +290,8 @@
     assert group.leader.undecided_count == 0
 
 
-def test_a_change_that_was_void_holds_up_nothing(group):
-    # Guards against: keys that wait for the outcome of a change that has none.
+def test_a_void_change_does_not_block_later_ones(group):
+    # Guards against keys that wait for the outcome of a change that was never applied.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.now += LEASE_S + 1.0
@@ -298,7 +302,7 @@
     assert group.owners() == {a.life}
 
 
-def test_an_owner_keeps_what_never_came_into_the_log(group):
+def test_an_owner_keeps_the_keys_of_a_change_that_was_not_committed(group):
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     group.now += LEASE_S + 1.0
@@ -309,25 +313,27 @@
 
 
 def test_keys_that_a_target_refuses_get_a_new_token(group):
-    # A target has seen a higher token than its owner's. It refuses every order for
-    # these keys, and callers wait for an owner that is there and never serves.
+    # A target has seen a higher fencing token than its present one. It refuses every
+    # order for these keys, and callers wait for an owner that never serves them.
     a, b = target("a"), target("b")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
-    row = group.owned(b)[0]
-    refused = (Hold(row.first, row.last, row.fence),)
+    key_range = group.owned(b)[0]
+    refused = (Hold(key_range.first, key_range.last, key_range.fence),)
     settled = group.grant_by_life[b.life].grant
     group.report(b, holds=refused, refused=refused, settled=settled)
-    assert group.tick() == [], "what it was told before may still hold"
+    assert group.tick() == [], "earlier grants may still be held"
     group.report(b, refused=refused, settled=settled)
     (command,) = group.tick()
-    assert [(r.first, r.last) for r in command.ranges] == [(row.first, row.last)]
+    assert [(r.first, r.last) for r in command.ranges] == [
+        (key_range.first, key_range.last)
+    ]
     ranges = group.state.ranges_by_service[SERVICE]
-    assert max(r.fence for r in ranges if r.first == row.first) > row.fence
+    assert max(r.fence for r in ranges if r.first == key_range.first) > key_range.fence
 
 
-def test_no_load_is_moved_from_a_target_whose_holds_nobody_knows(group):
-    # All daemons restart, and a target joins. Keys that move now stay unserved until
-    # all has run out that the targets may have been told before.
+def test_no_load_is_moved_from_a_target_whose_holds_are_unknown(group):
+    # All daemons restart, and a target joins. Keys that moved now would stay unserved
+    # until every grant that the targets may have received before has expired.
     a, b, c = target("a"), target("b"), target("c")
     group.run(4 * DISCOVERY_TIMEOUT_S, a, b)
     for who in (a, b):
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Who owns which keys, by the load on them."""
+"""Placement of key ranges on targets by their load."""
 
 import attrs
 import pytest
@@ -32,7 +32,7 @@
         new = [attrs.evolve(m.old, owner=m.to_life, fence=count + 1) for m in moves]
         assert not has_overlap(new)
         ranges = assigned(ranges, new)
-    raise AssertionError("never settles")
+    raise AssertionError("balancing doesn't converge")
 
 
 def utilization_by_life(ranges, capacity_by_life, rate_by_bucket, other_rate=0.0):
@@ -40,16 +40,16 @@
     return {life: utilization.of(life) for life in capacity_by_life}
 
 
-def test_first_ranges_cover_all_keys_by_power():
+def test_first_ranges_cover_all_keys_in_proportion_to_capacity():
     ranges = placement.first_ranges({"a": 100.0, "b": 300.0})
     assert ranges[0].first == 0 and ranges[-1].last == KEY_COUNT - 1
     size = sum(r.last - r.first + 1 for r in ranges if r.owner == "b")
     assert size == pytest.approx(0.75 * KEY_COUNT, rel=0.01)
 
 
-def test_a_hot_run_of_keys_is_split_among_all():
-    # Two hundred neighbouring keys get most of the traffic. Whole, they make one
-    # target's queue overflow while the others idle.
+def test_a_hot_run_of_keys_is_split_among_all_targets():
+    # Two hundred adjacent keys get most of the traffic. Unless they're split, one
+    # target's queue overflows while the others idle.
     capacity = dict.fromkeys("abcd", 50.0)
     hot = {1000 + number: 9.0 for number in range(200 // BUCKET_KEYS)}
     before = utilization_by_life(spread(*"abcd"), capacity, hot)
@@ -60,50 +60,50 @@
     assert rounds < 10
 
 
-def test_one_hot_bucket_is_not_passed_around():
-    # A single key that is too hot for anybody: wherever it is, that target is full.
-    # Moved from one to the next it would be unserved each time for nothing.
+def test_one_hot_bucket_is_not_moved_back_and_forth():
+    # A single key is too hot for any target, so its owner is always overloaded. Moving
+    # it between targets would leave it unserved each time without any gain.
     capacity = dict.fromkeys("ab", 50.0)
     settle(spread("a", "b"), capacity, {77: 80.0})
 
 
-def test_balanced_load_moves_nothing():
+def test_balanced_load_causes_no_moves():
     capacity = dict.fromkeys("abc", 100.0)
     utilization = utilization_of(spread(*"abc"), capacity, {}, other_rate=120.0)
     assert placement.balance(spread(*"abc"), utilization, 4) == []
 
 
-def test_targets_with_room_keep_their_keys():
-    # Demand varies by chance. Moved about for it, keys are unserved for a heartbeat
-    # each time, and nobody is faster for it.
+def test_targets_with_spare_capacity_keep_their_keys():
+    # Demand varies randomly. Each move for it would leave keys unserved for a heartbeat
+    # and make no target faster.
     capacity = dict.fromkeys("ab", 100.0)
     utilization = utilization_of(spread("a", "b"), capacity, {3: 30.0})
     assert utilization.of("a") > utilization.of("b") + 0.2
     assert placement.balance(spread("a", "b"), utilization, 4) == []
 
 
-def test_a_target_that_joins_gets_its_part():
+def test_a_target_that_joins_gets_its_share():
     capacity = dict.fromkeys("abc", 100.0)
     ranges, _ = settle(spread("a", "b"), capacity, {}, other_rate=90.0)
     joined = sum(r.last - r.first + 1 for r in ranges if r.owner == "c")
     assert joined > 0.5 * KEY_COUNT / 3
 
 
-def test_a_slow_target_gives_keys_away():
+def test_keys_move_away_from_a_slow_target():
     capacity = {"a": 100.0, "b": 20.0}
     ranges, _ = settle(spread("a", "b"), capacity, {}, other_rate=60.0)
     after = utilization_by_life(ranges, capacity, {}, 60.0)
     assert after["b"] < 1.6 * after["a"]
 
 
-def test_ownerless_ranges_go_where_there_is_most_room():
+def test_unowned_ranges_go_to_the_least_utilized_target():
     ranges = [KeyRange(0, 99, 1, "a"), KeyRange(100, 199, 1, "gone")]
     utilization = utilization_of(ranges, {"a": 10.0, "b": 10.0}, {})
     (new,) = placement.assign_unowned([ranges[1]], utilization)
     assert new.owner == "b" and new.handover == ""
 
 
-def test_no_owner_gets_more_ranges_than_a_heartbeat_can_tell():
+def test_no_owner_gets_more_ranges_than_fit_a_heartbeats_answer():
     many = [
         KeyRange(n * 100, n * 100 + 99, n, "ab"[n % 2])
         for n in range(2 * placement.MAX_RANGES_PER_TARGET)
@@ -112,9 +112,9 @@
     assert utilization.least() == "c"
 
 
-def test_one_key_that_is_too_hot_does_not_hold_up_the_others():
-    # One key is too hot for any target, and its owner has nothing else to give. The
-    # second most used target's keys must move all the same.
+def test_one_key_that_is_too_hot_does_not_block_moves_of_others():
+    # One key is too hot for any target, and its owner has no other key to move. Keys
+    # of the second most utilized target must still move.
     capacity = dict.fromkeys("abc", 50.0)
     ranges = (
         KeyRange(0, BUCKET_KEYS - 1, owner="a"),
--- a/tests/fleet/test_purity.py
+++ b/tests/fleet/test_purity.py
@@ -1,6 +1,6 @@
 """Decision modules of a fleet do no input or output and read no clock.
 
-A decision that reads a clock can't be tested at the moment that matters.
+Tests couldn't set the time of a decision that reads a clock.
 """
 
 import ast
--- a/tests/fleet/test_ranges.py
+++ b/tests/fleet/test_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of keys against a table with one row a key."""
+"""Compares operations on key ranges with a table of one row per key."""
 
 import attrs
 from hypothesis import given, settings, strategies as st
@@ -7,12 +7,12 @@
 from tamarackhaven.fleet._ranges import RangeIndex, assigned, whole
 
 OWNERS = st.sampled_from(["", "a", "b"])
-# Few different keys, so that ranges often meet, cover or touch each other.
+# Few different keys, so that ranges often overlap, cover or adjoin each other.
 CUTS = st.sets(st.integers(1, 30), min_size=1, max_size=8)
 
 
 def ranges(cuts, rows):
-    """Return ranges between neighbouring cuts, each with a row of its own."""
+    """Return ranges between consecutive cuts, each with a row of ``rows``."""
     edges = sorted(cuts)
     pairs = zip(edges, edges[1:], rows, strict=False)
     return [
@@ -23,7 +23,7 @@
 
 
 def table(by_range):
-    """Return what is known of each key, as a list by key."""
+    """Return the row of each key, as a list by key."""
     rows = []
     for each in by_range:
         row = attrs.evolve(each, first=0, last=0)
@@ -43,7 +43,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(CHANGES)
-def test_a_change_gives_each_key_what_a_table_by_key_gives_it(changes):
+def test_assigned_ranges_agree_with_a_table_by_key(changes):
     known = whole()
     expected = table(known)
     for change in changes:
--- a/tests/fleet/test_sessions.py
+++ b/tests/fleet/test_sessions.py
@@ -1,4 +1,4 @@
-"""What a leader sends to a daemon, and what the daemon makes of it."""
+"""Updates that a leader sends to a daemon, and the daemon's resulting view."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 class Link:
-    """Carries messages to a view as a real link does."""
+    """Passes messages to a view, packed and unpacked as by a real link."""
 
     def __init__(self, view):
         self._view = view
@@ -62,7 +62,7 @@
     asyncio.run(main())
 
 
-def test_a_daemon_follows_every_change_by_its_difference():
+def test_configuration_changes_are_sent_as_differences():
     def test(state, view, link, session):
         whole = link.bytes
         edits = [
@@ -79,12 +79,14 @@
             assert seen.service_by_name == state.configuration.service_by_name
             assert seen.limits == state.configuration.limits
             assert seen.version == state.configuration.version
-        assert link.bytes - whole < 500, "three changes are small"
+        assert link.bytes - whole < 500, (
+            "three differences must take less than 500 bytes"
+        )
 
     run(test)
 
 
-def test_a_daemon_follows_the_owners_by_their_changes():
+def test_changes_of_owners_are_sent_as_differences():
     def test(state, view, link, session):
         (whole,) = state.ranges_by_service["s"]
         halves = (KeyRange(0, 99, owner="a@1@h:1"), KeyRange(100, KEY_COUNT - 1))
@@ -100,24 +102,24 @@
     run(test)
 
 
-def test_an_older_part_changes_nothing():
-    # A deposed leader's link still brings something. Taken, the daemon would go back
-    # to a configuration that operators have replaced.
+def test_an_outdated_configuration_is_ignored():
+    # A daemon still receives an update from a deposed leader. If it were applied, the
+    # daemon would return to a configuration that operators have replaced.
     def test(state, view, link, session):
         old = attrs.evolve(state.configuration)
-        late = Session("d", link)
+        former_session = Session("d", link)
         order = EditConfiguration(1, Edit(2, removed_routes=("r1",)), "e")
         state.apply(2, order)
         session.catch_up(state)
-        stale = FleetState()
-        stale.configuration, stale.configuration_index = old, 1
-        late.catch_up(stale)
+        former_state = FleetState()
+        former_state.configuration, former_state.configuration_index = old, 1
+        former_session.catch_up(former_state)
         assert view.table.configuration.version == 2
 
     run(test)
 
 
-def test_zones_are_told_with_when_they_were_heard():
+def test_a_daemon_records_since_when_a_zone_is_out():
     def test(state, view, link, session):
         state.apply(2, SetZoneOut("z", True))
         session.catch_up(state)
@@ -129,20 +131,20 @@
     run(test)
 
 
-def changed_by(state, count):
+def apply_changes(state, count):
     for number in range(count):
         edit = Edit(state.configuration.version + 1, removed_routes=(f"r{number}",))
         order = EditConfiguration(state.configuration.version, edit, f"c{number}")
         assert state.apply(state.configuration_index + 1, order).kind is None
 
 
-def test_a_daemon_that_comes_back_is_sent_what_it_missed():
-    # A leader's link breaks while hundreds of routes are in force. Sent whole again to
-    # every daemon, the configuration fills the small links, the answers to reports
-    # stand behind it, and the daemons give the new session up, too, again and again.
+def test_a_daemon_that_reconnects_is_sent_only_what_it_missed():
+    # A leader's links break while hundreds of routes are in force. If every daemon were
+    # sent the whole configuration again, it would saturate their slow links and delay
+    # the answers to reports, and the daemons would drop each new session as well.
     def test(state, view, link, session):
         whole = link.bytes
-        changed_by(state, 3)
+        apply_changes(state, 3)
         Session("d", link, UpdateCache(), view.known()).catch_up(state)
         assert link.bytes - whole < 200
         assert view.table.configuration.version == 4
@@ -153,11 +155,12 @@
     run(test)
 
 
-def test_a_daemon_that_was_away_for_long_is_sent_the_whole():
-    # So many changes passed that the leader has no state from which to lead on.
+def test_a_daemon_with_a_state_that_is_not_kept_is_sent_the_whole_configuration():
+    # After so many changes, the leader no longer has the state from which it would
+    # build the difference.
     def test(state, view, link, session):
         known = view.known()
-        changed_by(state, MAX_FORMER_VALUES + 1)
+        apply_changes(state, MAX_FORMER_VALUES + 1)
         Session("d", link, UpdateCache(), known).catch_up(state)
         assert view.table.configuration.route_by_name == (
             state.configuration.route_by_name
@@ -166,11 +169,11 @@
     run(test)
 
 
-def test_news_are_made_once_for_all_daemons():
-    # A change of hundreds of routes goes to many daemons. Made for each of them, it
-    # holds the leader up for longer than an election takes.
+def test_an_update_is_built_once_for_all_daemons():
+    # A change of hundreds of routes is sent to many daemons. Building it for each of
+    # them would block the leader for longer than an election takes.
     def test(state, view, link, session):
-        class Kept:
+        class RecordingLink:
             def __init__(self):
                 self.sent = []
 
@@ -178,12 +181,12 @@
                 self.sent.append(message)
 
         update_cache = UpdateCache()
-        links = [Kept(), Kept()]
+        links = [RecordingLink(), RecordingLink()]
         sessions = [Session("d", each, update_cache) for each in links]
         for number in range(2):
             for each in sessions:
                 each.catch_up(state)
-            changed_by(state, number)
+            apply_changes(state, number)
         one, other = (each.sent for each in links)
         assert one
         assert all(a is b for a, b in zip(one, other, strict=True))
@@ -191,7 +194,7 @@
     run(test)
 
 
-def test_a_daemon_is_not_sent_the_fields_as_declared():
+def test_a_daemon_is_not_sent_the_source_of_a_route():
     def test(state, view, link, session):
         before = link.bytes
         source = {"comment": "0123456789abcdef" * 64}
@@ -205,10 +208,10 @@
     run(test)
 
 
-def test_a_daemon_that_starts_while_its_zone_is_out_grants_no_time():
-    # A zone is taken out, and a daemon there restarts some seconds later. Counted from
-    # when it hears of it, its target would serve its keys for seconds more than the
-    # operator was promised.
+def test_a_daemon_that_starts_while_its_zone_is_out_allows_no_extra_time():
+    # A zone is taken out, and a daemon there restarts some seconds later. If the time
+    # counted from when it's notified, its target would serve its keys for seconds
+    # longer than the operator was promised.
     def test(state, view, link, session):
         state.apply(2, SetZoneOut("z", True))
         restarted = View()
@@ -218,19 +221,19 @@
     run(test)
 
 
-class HeldUp(Link):
-    """Holds back what it carries until it is let go, in order."""
+class PausedLink(Link):
+    """Queues messages until ``deliver_all``, which passes them on in order."""
 
     def __init__(self, view):
         super().__init__(view)
-        self.held = []
+        self.queued = []
 
     def send(self, message):
-        self.held.append(message)
+        self.queued.append(message)
 
-    def let_go(self):
-        while self.held:
-            super().send(self.held.pop(0))
+    def deliver_all(self):
+        while self.queued:
+            super().send(self.queued.pop(0))
 
 
 def reassign(state, index):
@@ -244,35 +247,36 @@
     assert state.apply(index, order).kind is None
 
 
-def test_a_configuration_does_not_stand_behind_hundreds_of_changes_of_owners():
-    # Guards against: a daemon on a small link that answers by an older configuration
-    # for seconds after a new one was confirmed.
+def test_a_configuration_is_not_queued_behind_hundreds_of_changes_of_owners():
+    # Guards against a daemon on a slow link that uses an outdated configuration for
+    # seconds after a new one was confirmed.
     def test(state, view, _link, session):
-        link = session.link = HeldUp(view)
+        link = session.link = PausedLink(view)
         for index in range(2, 302):
             reassign(state, index)
             session.send_updates(state)
         state.apply(302, EditConfiguration(1, Edit(2, removed_routes=("r8",)), "e"))
         session.send_updates(state)
-        before = sum(len(CONTROL_CODEC.pack(each)) for each in link.held[:-1])
+        before = sum(len(CONTROL_CODEC.pack(each)) for each in link.queued[:-1])
         assert before < 2 * MAX_UNACKNOWLEDGED_BYTES
-        link.let_go()
+        link.deliver_all()
         assert view.table.configuration.version == 2
 
     run(test)
 
 
-def test_a_daemon_that_keeps_up_has_all_owners_once_it_has_said_so():
-    # Guards against: owners that a daemon never hears of since it was told too many.
+def test_a_daemon_is_sent_the_remaining_owners_after_its_acknowledgement():
+    # Guards against changes of owners that are never sent because they exceeded the
+    # limit of unacknowledged updates.
     def test(state, view, _link, session):
-        link = session.link = HeldUp(view)
+        link = session.link = PausedLink(view)
         for index in range(2, 102):
             reassign(state, index)
             session.send_updates(state)
-        link.let_go()
+        link.deliver_all()
         session.acknowledge(view.state_index)
         session.send_updates(state)
-        link.let_go()
+        link.deliver_all()
         assert view._keys_by_service["s"].ranges == state.ranges_by_service["s"]
 
     run(test)
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a fleet: the examples, the platform's templates, and mistakes."""
+"""Settings of a fleet: examples, the platform's templates, and invalid values."""
 
 import re
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("role", CLASS_BY_ROLE)
-def test_the_example_loads_and_explains_every_key(role):
+def test_the_example_loads_and_comments_every_key(role):
     path = ROOT / "examples" / f"fleet-{role}.toml"
     load_settings(path, CLASS_BY_ROLE[role])
     lines = path.read_text().splitlines()
@@ -43,7 +43,7 @@
 
 
 def filled(template):
-    """Return a template with its placeholders filled as the platform does."""
+    """Return a template with its placeholders filled in as by the platform."""
     text = re.sub(
         r"\{\{#seed_addrs\}\}.*?\{\{/seed_addrs\}\}", '"10.0.0.1:80"', template
     )
@@ -84,7 +84,7 @@
         ('zone = "north-a"', "zone = ", "SETTINGS_SYNTAX", "line"),
     ],
 )
-def test_a_mistake_is_named_with_file_and_key(tmp_path, old, new, kind, key):
+def test_the_error_of_an_invalid_file_names_file_and_key(tmp_path, old, new, kind, key):
     path = tmp_path / "daemon.toml"
     text = (ROOT / "examples" / "fleet-daemon.toml").read_text()
     assert old in text
@@ -95,6 +95,6 @@
     assert str(path) in str(caught.value) and key in str(caught.value)
 
 
-def test_a_lease_bears_two_lost_heartbeats_and_is_never_longer_than_a_hold():
+def test_a_lease_survives_two_lost_heartbeats_and_never_exceeds_the_longest_hold():
     assert FleetLeaseSettings(heartbeat_s=1.0).lease_s > 3 * 1.0
     assert FleetLeaseSettings(heartbeat_s=9.0, longest_hold_s=10).lease_s == 10
--- a/tests/fleet/test_stalled_disk.py
+++ b/tests/fleet/test_stalled_disk.py
@@ -1,20 +1,21 @@
-"""A leading control VM whose disk answers nothing while keys move, real processes."""
+"""Real processes: a leading control VM whose disk stalls while keys move."""
 
 import asyncio
 import collections
 
 from standin.fleet import Fleet
 
-NET = 63
+NETWORK_NUMBER = 63
 STALL_S = 4.0
-# Part of a core that a leader without a disk may use; it has nothing to do.
-MOST_BUSY = 0.5
-# Changes that others have made void; each of two services has one open at a time.
-MOST_VOID = 4
+# Fraction of a core that a leader with a stalled disk may use; it has no work to do.
+MAX_CPU_FRACTION = 0.5
+# Changes that may be void because others superseded them. Each of two services has one
+# open at a time.
+MAX_VOID_CHANGES = 4
 
 
 async def started(folder):
-    fleet = Fleet(folder, ("owned", "owned", "owned", "shared"), NET)
+    fleet = Fleet(folder, ("owned", "owned", "owned", "shared"), NETWORK_NUMBER)
     for control in fleet.controls:
         control.may_stall()
     await fleet.start()
@@ -22,7 +23,7 @@
 
 
 def void_changes(fleet):
-    """Return how many changes of owners each control VM saw come to nothing."""
+    """Return the number of void changes of owners that each control VM applied."""
     counts = collections.Counter()
     for control in fleet.controls:
         for line in control.lines:
@@ -32,9 +33,9 @@
     return counts
 
 
-def test_a_leader_without_a_disk_neither_proposes_nor_works_without_end(tmp_path):
-    # Guards against: a leader that fills its processor and its log with the same
-    # changes while its disk stalls, so that nobody serves the keys that move.
+def test_a_leader_with_a_stalled_disk_does_not_repeat_its_proposals(tmp_path):
+    # Guards against a leader that saturates its CPU and its log with the same changes
+    # while its disk stalls, so that no target serves the keys that move.
     async def main():
         fleet = await started(tmp_path)
         try:
@@ -48,8 +49,8 @@
             leader.unstall()
             await fleet.until(fleet._serves, 20.0)
             await asyncio.sleep(1.0)
-            assert used_s < MOST_BUSY * STALL_S
-            assert max(void_changes(fleet).values(), default=0) <= MOST_VOID
+            assert used_s < MAX_CPU_FRACTION * STALL_S
+            assert max(void_changes(fleet).values(), default=0) <= MAX_VOID_CHANGES
             for key in range(0, 65536, 4099):
                 owners = [each for each in fleet.targets if each.holds(key)]
                 assert owners == [fleet.targets[2]]
--- a/tests/fleet/test_state.py
+++ b/tests/fleet/test_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: owners of keys, orders sent again, zones."""
+"""The replicated state: owners of keys, repeated orders, zones."""
 
 import attrs
 import pytest
@@ -44,10 +44,10 @@
     return state
 
 
-def test_an_order_sent_again_after_a_newer_one_is_acknowledged_again(state):
-    # The operator loses an acknowledgement and sends the order again, and meanwhile
-    # the next one was accepted. The base of the first is gone by then; a conflict
-    # would tell the operator that its own change was refused.
+def test_an_order_repeated_after_a_newer_one_is_acknowledged_again(state):
+    # An operator misses an acknowledgement and repeats the order after another one has
+    # been accepted. Its base version is outdated by then, and a conflict would tell the
+    # operator that its own change was refused.
     edit = EditConfiguration(1, Edit(2, routes=(route("new", "/b/"),)), "second")
     assert state.apply(2, edit).kind is None
     again = state.apply(3, ReplaceConfiguration(0, configuration(), "first"))
@@ -55,7 +55,7 @@
     assert state.configuration.version == 2
 
 
-def test_of_two_changes_on_one_version_one_wins(state):
+def test_of_two_changes_of_one_version_the_second_is_refused(state):
     first = EditConfiguration(1, Edit(2, routes=(route("x", "/x/"),)), "x")
     other = EditConfiguration(1, Edit(2, routes=(route("y", "/y/"),)), "y")
     assert state.apply(2, first).kind is None
@@ -67,8 +67,8 @@
     "routes",
     [
         [route(service="nobody")],
-        [route(), route("r2")],  # one place twice
-        [route(), route(prefix="/b/")],  # one name twice
+        [route(), route("r2")],  # the same host and prefix twice
+        [route(), route(prefix="/b/")],  # the same name twice
         [route(timeout_s=601.0)],
         [route(timeout_s=0.0)],
         [route(prefix="/a")],
@@ -77,13 +77,13 @@
         [attrs.evolve(route(), parts=())],
     ],
 )
-def test_a_configuration_that_cannot_be_in_force_is_refused(state, routes):
+def test_an_invalid_configuration_is_refused(state, routes):
     order = ReplaceConfiguration(1, configuration(2, routes), "bad")
     assert state.apply(2, order).kind is ErrorKind.INVALID_RESOURCE
     assert state.configuration.version == 1
 
 
-def test_a_version_that_is_not_above_the_present_one_is_refused(state):
+def test_a_version_that_is_not_above_the_present_one_is_invalid(state):
     order = ReplaceConfiguration(1, configuration(1), "same version")
     assert state.apply(2, order).kind is ErrorKind.INVALID_RESOURCE
 
@@ -108,10 +108,10 @@
     assert ranges[2] == high
 
 
-def test_a_command_that_names_a_key_twice_changes_nothing(state):
-    # Two targets get the same key with the same fencing token: a leader had put a
-    # range into one command both as given up by a dead owner and as released by a
-    # planned move. Neither target can tell that the other one holds it, too.
+def test_a_command_that_assigns_a_key_twice_changes_nothing(state):
+    # A leader put a range into one command twice: as keys of an expired owner, and as
+    # keys released by a planned move. Two targets got them with the same fencing token,
+    # and neither could detect that the other one held them, too.
     (whole,) = state.ranges_by_service["owned"]
     twice = (KeyRange(0, 10, owner="a"), KeyRange(10, KEY_COUNT - 1, owner="b"))
     outcome = state.apply(2, AssignKeys("owned", twice, (whole,)))
@@ -119,7 +119,7 @@
     assert state.ranges_by_service["owned"] == (whole,)
 
 
-def test_an_assignment_made_from_older_ranges_is_void(state):
+def test_an_assignment_based_on_outdated_ranges_is_void(state):
     (whole,) = state.ranges_by_service["owned"]
     first = AssignKeys("owned", (attrs.evolve(whole, owner="a"),), (whole,))
     late = AssignKeys("owned", (attrs.evolve(whole, owner="b"),), (whole,))
@@ -127,7 +127,7 @@
     assert state.apply(3, late).kind is ErrorKind.STALE_GRANT
 
 
-def test_the_state_comes_back_whole_from_its_bytes(state):
+def test_a_restored_state_equals_the_saved_one(state):
     state.apply(2, SetZoneOut("z", True))
     copy = FleetState.restored(state.save())
     assert copy.save() == state.save()
@@ -145,5 +145,5 @@
         AssignKeys("s", (KeyRange(0, 1, owner="a"),), (KeyRange(0, 1),), "why"),
     ],
 )
-def test_commands_come_back_from_the_log(command):
+def test_commands_survive_encoding(command):
     assert decode(encode(command)) == command
