--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -32,8 +32,8 @@
 # that its daemon is gone, and a daemon that is only partitioned from the control VMs
 # keeps serving.
 SILENT_TARGET_TTL_S = 20.0
-# Keys are unserved for about a heartbeat while they move, when a target joins or load
-# shifts. So only a few ranges of a service are moved at a time for balance.
+# Keys move when a target joins or load shifts, and are unserved for about a heartbeat
+# while they do. So only a few ranges of a service are moved for balance at a time.
 MAX_BALANCING_MOVES = 4
 # Balancing stops while more than this fraction of the targets is silent: moved keys
 # would fill the targets that may have to take over the keys of the silent ones. One
@@ -47,7 +47,10 @@
 
 @attrs.define
 class _ReportedTarget:
-    """A target with the newest report of its daemon and when that was received."""
+    """A target with its daemon's newest report, received at ``reported_s``.
+
+    Times are in seconds of the boot clock, here and below.
+    """
 
     target: Target
     report: object
@@ -260,19 +263,18 @@
         for pending in self._pending_moves_of(service):
             if pending.move.to_life in capacity_by_life:
                 utilization.reassign(pending.move.old, pending.move.to_life)
-        unowned = [each for each in ranges if self._is_unowned(each, now)]
+        assignable = [each for each in ranges if self._is_assignable(each, now)]
         released = self._finished_moves(service, capacity_by_life, now)
-        # If the owner of a pending move is gone by now, the range is already assigned
-        # as an unowned one.
+        # A range whose owner is gone by now is already assigned as ``assignable``.
         released = [
             each
             for each in released
-            if not any(overlaps(each, gone) for gone in unowned)
+            if not any(overlaps(each, gone) for gone in assignable)
         ]
-        new = _placement.assign_unowned(unowned, utilization) + released
+        new = _placement.assign_ranges(assignable, utilization) + released
         if new:
             expected = _overlapping(ranges, new)
-            cause = "owner gone" if unowned else "released"
+            cause = "owner gone" if assignable else "released"
             return [AssignKeys(service, tuple(new), expected, cause)]
         self._start_moves(service, ranges, capacity_by_life, utilization, state)
         return []
@@ -280,7 +282,7 @@
     def _capacity_by_life(self, service, state, now):
         """Return the capacity of the targets that may get keys, by life.
 
-        Capacity is in requests a second; for a cold target, at its cold rate.
+        Capacity is in requests a second; a cold target's is at most its cold rate.
         """
         reported = [
             each
@@ -326,7 +328,7 @@
         new = tuple(_placement.first_ranges(capacity_by_life))
         return [AssignKeys(service, new, tuple(ranges), "first owners")]
 
-    def _is_unowned(self, key_range, now):
+    def _is_assignable(self, key_range, now):
         owner = key_range.owner
         if not owner or self._is_replaced(owner) or self.leases.has_expired(owner, now):
             return True
--- a/tamarackhaven/fleet/_leases.py
+++ b/tamarackhaven/fleet/_leases.py
@@ -1,8 +1,7 @@
 """Tracks until when targets may still hold what a leader granted them. Pure."""
 
 # Two VMs' clocks may run at slightly different rates, and a grant is recorded a moment
-# after the daemon asked for it. This is 1 % of a lease of
-# 15 s.
+# after the daemon asked for it. The margin is 1 % of a lease of 15 s.
 CLOCK_MARGIN_S = 0.15
 
 
--- a/tamarackhaven/fleet/_placement.py
+++ b/tamarackhaven/fleet/_placement.py
@@ -1,4 +1,4 @@
-"""Places keys on targets: unowned keys, and planned moves of owned ones.
+"""Places keys on targets: keys to be assigned anew, and planned moves of owned ones.
 
 Pure. Targets are compared by their utilization: the work that their keys cause, as a
 fraction of their capacity.
@@ -180,10 +180,10 @@
         self.count_by_life[to_life] += 1
 
 
-def assign_unowned(unowned, utilization):
-    """Return unowned ranges with new owners, heaviest range first."""
+def assign_ranges(assignable, utilization):
+    """Return ``assignable`` ranges with new owners, heaviest range first."""
     new = []
-    for each in sorted(unowned, key=utilization.weights.weight_of, reverse=True):
+    for each in sorted(assignable, key=utilization.weights.weight_of, reverse=True):
         life = utilization.least()
         utilization.reassign(each, life)
         new.append(attrs.evolve(each, owner=life, handover=""))
--- a/tamarackhaven/fleet/_sessions.py
+++ b/tamarackhaven/fleet/_sessions.py
@@ -35,7 +35,7 @@
     update_cache : UpdateCache
         Shared by all sessions.
     known : Known
-        The parts of the state that the daemon had at the start of the session.
+        The parts of the state that the daemon reported to have.
     """
 
     daemon: str
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -96,10 +96,10 @@
     assert after["b"] < 1.6 * after["a"]
 
 
-def test_unowned_ranges_go_to_the_least_utilized_target():
+def test_assigned_ranges_go_to_the_least_utilized_target():
     ranges = [KeyRange(0, 99, 1, "a"), KeyRange(100, 199, 1, "gone")]
     utilization = utilization_of(ranges, {"a": 10.0, "b": 10.0}, {})
-    (new,) = placement.assign_unowned([ranges[1]], utilization)
+    (new,) = placement.assign_ranges([ranges[1]], utilization)
     assert new.owner == "b" and new.handover == ""
 
 
