--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -47,9 +47,12 @@
 
 @attrs.define
 class _ReportedTarget:
-    """A target with its daemon's newest report, received at ``reported_s``.
+    """A target with its daemon's newest report.
 
-    Times are in seconds of the boot clock, here and below.
+    Parameters
+    ----------
+    reported_s : float
+        When the report was received, in seconds of the boot clock.
     """
 
     target: Target
@@ -77,7 +80,13 @@
 
 @attrs.define
 class _TargetCount:
-    """Number of targets of a new service, and since when it hasn't changed."""
+    """Number of targets of a new service.
+
+    Parameters
+    ----------
+    since_s : float
+        Since when it hasn't changed, in seconds of the boot clock.
+    """
 
     count: int
     since_s: float
