--- a/tamarackhaven/fleet/_group_links.py
+++ b/tamarackhaven/fleet/_group_links.py
@@ -13,24 +13,24 @@
 )
 from tamarackhaven.net import dial
 
-REDIAL_S = 0.15
-# Consensus sends heartbeats many times a second: a link on which nothing comes back
-# for so long has gone silent without a reset.
-SILENT_S = 1.0
-# Load: a member that is cut off. Harm: what waits for it fills the memory. Limit: some
-# seconds of heartbeats; consensus repeats what matters.
-MOST_WAITING = 128
+REDIAL_INTERVAL_S = 0.15
+# Consensus sends heartbeats many times a second, so a link on which nothing is received
+# for this long has failed without a reset.
+LINK_SILENCE_TIMEOUT_S = 1.0
+# Messages for an unreachable member would otherwise fill the memory. This holds some
+# seconds of heartbeats; consensus repeats lost messages.
+MAX_QUEUED_MESSAGES = 128
 
 
 class GroupLinks:
-    """Sends to other control VMs; each has one outgoing link.
+    """Outgoing links to other control VMs, one for each.
 
     Parameters
     ----------
     hello : MemberHello
-        Who this VM is.
+        Identifies this VM.
     on_hint : callable
-        ``on_hint(hint)`` for each ``GroupHint`` that comes back.
+        ``on_hint(hint)``, called for each ``GroupHint`` received.
     """
 
     def __init__(self, hello, on_hint):
@@ -38,14 +38,14 @@
         self._on_hint = on_hint
         self._address_by_name = {}
         self._outgoing_by_address = {}
-        self.heard_s_by_name = {}
+        self.last_received_s_by_name = {}
 
-    def know(self, name, host, port):
-        """Note where a member takes links."""
+    def set_address(self, name, host, port):
+        """Set the link address of a member."""
         self._address_by_name[name] = (host, port)
 
     def send(self, messages):
-        """Send consensus messages to their receivers, as far as they are known."""
+        """Send consensus messages; drop those for members without a known address."""
         batch_by_name = {}
         for message in messages:
             packed = to_wire(message).SerializeToString()
@@ -61,14 +61,20 @@
         for address in addresses:
             self._outgoing(address).send(request)
 
-    def heard(self, messages):
-        """Note who was heard, and return the messages."""
+    def receive(self, messages):
+        """Unpack consensus messages, and record when their senders were last heard.
+
+        Parameters
+        ----------
+        messages : iterable of bytes
+            As received in a ``ConsensusBatch``.
+        """
         unpacked = [
             from_wire(_wire_pb2.RaftMessage.FromString(each)) for each in messages
         ]
         now = boot_s()
         for message in unpacked:
-            self.heard_s_by_name[message.sender] = now
+            self.last_received_s_by_name[message.sender] = now
         return unpacked
 
     def _outgoing(self, address):
@@ -85,47 +91,47 @@
 
 
 class _Outgoing:
-    """A link that is dialled again when it is needed."""
+    """A link that is reconnected when it's needed."""
 
     def __init__(self, address, hello, on_hint):
         self._address = address
         self._hello = hello
         self._on_hint = on_hint
-        self._waiting = []
+        self._queued = []
         self._link = None
         self._task = None
         self._is_closed = False
 
     def send(self, message):
-        """Send now, or once the link stands."""
+        """Send now, or once the link is connected."""
         if self._link is not None and self._link.is_open:
             self._link.send(message)
-            self._link.probe(boot_s(), SILENT_S)
+            self._link.probe(boot_s(), LINK_SILENCE_TIMEOUT_S)
             return
-        self._waiting.append(message)
-        del self._waiting[:-MOST_WAITING]
+        self._queued.append(message)
+        del self._queued[:-MAX_QUEUED_MESSAGES]
         if self._task is None and not self._is_closed:
             self._task = asyncio.get_running_loop().create_task(self._dial())
 
     async def _dial(self):
         try:
-            while not self._is_closed and self._waiting:
+            while not self._is_closed and self._queued:
                 try:
                     link = await dial(
                         self._address,
                         CONTROL_CODEC,
                         self._on_message,
-                        self._closed,
+                        self._on_closed,
                     )
                 except OSError:
-                    # What waited meanwhile is out of date; newer messages follow.
-                    self._waiting.clear()
-                    await asyncio.sleep(REDIAL_S)
+                    # The queued messages are outdated; newer ones follow.
+                    self._queued.clear()
+                    await asyncio.sleep(REDIAL_INTERVAL_S)
                     continue
                 self._link = link
                 link.send(self._hello)
-                waiting, self._waiting = self._waiting, []
-                for message in waiting:
+                queued, self._queued = self._queued, []
+                for message in queued:
                     link.send(message)
         finally:
             self._task = None
@@ -134,7 +140,7 @@
         if isinstance(message, GroupHint):
             self._on_hint(message)
 
-    def _closed(self, link):
+    def _on_closed(self, link):
         if self._link is link:
             self._link = None
 
--- a/tamarackhaven/fleet/_growth.py
+++ b/tamarackhaven/fleet/_growth.py
@@ -1,33 +1,33 @@
-"""Which change of the control group's members is due next. Pure.
+"""Decides which membership change of the control group is due next. Pure.
 
-The group founds itself from a few addresses that all are told, grows to the voters
-that the tolerated losses need, and replaces members that are gone for good.
+The group starts from a few configured addresses, grows to the number of voters that the
+tolerated losses need, and replaces members that are permanently gone.
 """
 
 import attrs
 
 from tamarackhaven._members import Member, Membership, Step
 
-# A voter that is silent for so long is replaced, if another member stands ready. A
-# frozen one that comes back later joins again; a shorter time would replace members
-# over a slow disk, a longer one leaves the group a loss short.
-SILENT_VOTER_S = 2.0
-# A learner that never catches up is forgotten, so that the list stays short.
-SILENT_LEARNER_S = 15.0
-FEWEST_VOTERS = 3
+# A voter that is silent for longer is replaced if a learner is available. A frozen one
+# that resumes later joins again. A shorter time would replace members because of a slow
+# disk; with a longer one the group would tolerate one loss less in the meantime.
+SILENT_VOTER_TIMEOUT_S = 2.0
+# A learner that is silent for longer is removed, which bounds the list of members.
+SILENT_LEARNER_TIMEOUT_S = 15.0
+MIN_VOTERS = 3
 
 
-def voters_wanted(tolerated_losses):
-    """Return how many voters bear the loss of ``tolerated_losses`` at once."""
-    return max(2 * tolerated_losses + 1, FEWEST_VOTERS)
+def count_required_voters(tolerated_losses):
+    """Return how many voters are needed to survive ``tolerated_losses`` at once."""
+    return max(2 * tolerated_losses + 1, MIN_VOTERS)
 
 
 def founders(addresses):
-    """Return the membership that all founders start from, whoever starts first.
+    """Return the first membership of a group, the same for all its founders.
 
-    Failure: the members that found the group start from different lists. Symptom: two
-    groups, each with a leader. Enough: all are told the same addresses at the first
-    start, names follow from addresses, and nobody else founds.
+    Founders that started with different memberships would form two groups, each with a
+    leader. All founders are configured with the same addresses at the first start, a
+    member's name is derived from its address, and no other VM may found a group.
     """
     return Membership(
         tuple(Member(f"{host}:{port}", host, port, 0) for host, port in addresses)
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Newcomer:
-    """A control VM that asked to join, under a name no other disk ever had."""
+    """A control VM that asked to join, under a name never used with another disk."""
 
     name: str
     host: str
@@ -44,25 +44,25 @@
 
 
 @attrs.frozen
-class Due:
-    """A membership change and why it is made."""
+class DueChange:
+    """A membership change and the reason for it."""
 
     step: Step
     cause: str
 
 
-def next_step(membership, newcomers, silent_s_by_name, wanted):
-    """Return the change that is due as ``Due``, or None.
+def next_change(membership, newcomers, silent_s_by_name, required_voters):
+    """Return the change that is due as ``DueChange``, or None.
 
     Parameters
     ----------
     membership : Membership
         The one in effect.
     newcomers : iterable of Newcomer
-        Who asked of late.
+        Control VMs that asked to join recently.
     silent_s_by_name : dict of str to float
-        For how many seconds each member was not heard; 0 for the leader itself.
-    wanted : int
+        Seconds since the last message of each member; 0 for the leader itself.
+    required_voters : int
         Voters that the group should have.
     """
     for newcomer in newcomers:
@@ -72,17 +72,19 @@
     learners = [
         member
         for member in membership.members
-        if not member.voter and silent_s_by_name[member.name] < SILENT_VOTER_S
+        if not member.voter and silent_s_by_name[member.name] < SILENT_VOTER_TIMEOUT_S
     ]
     silent = [
-        name for name in membership.voters if silent_s_by_name[name] > SILENT_VOTER_S
+        name
+        for name in membership.voters
+        if silent_s_by_name[name] > SILENT_VOTER_TIMEOUT_S
     ]
-    if learners and len(membership.voters) < wanted:
-        return Due(Step("promote", learners[0]), "fewer voters than wanted")
+    if learners and len(membership.voters) < required_voters:
+        return DueChange(Step("promote", learners[0]), "fewer voters than required")
     if learners and silent:
         gone = membership.by_name[max(silent, key=silent_s_by_name.get)]
-        return Due(Step("remove", gone), "silent, and another member stands ready")
-    return _tidy(membership, silent_s_by_name)
+        return DueChange(Step("remove", gone), "silent, and a learner can replace it")
+    return _remove_silent_learner(membership, silent_s_by_name)
 
 
 def _admit(membership, newcomer):
@@ -90,15 +92,20 @@
         return None
     for member in membership.members:
         if (member.host, member.port) == (newcomer.host, newcomer.port):
-            # Its disk is gone: another process answers at its address under a new
-            # name. It would never vote again, but count for every majority.
-            return Due(Step("remove", member), "its VM came back with an empty disk")
+            # The member's disk is lost: another process uses its address under a new
+            # name. The old name can't vote any more, but counts for every majority.
+            return DueChange(
+                Step("remove", member), "its VM restarted with an empty disk"
+            )
     member = Member(newcomer.name, newcomer.host, newcomer.port, 0, voter=False)
-    return Due(Step("add", member), "asked to join")
+    return DueChange(Step("add", member), "asked to join")
 
 
-def _tidy(membership, silent_s_by_name):
+def _remove_silent_learner(membership, silent_s_by_name):
     for member in membership.members:
-        if not member.voter and silent_s_by_name[member.name] > SILENT_LEARNER_S:
-            return Due(Step("remove", member), "silent learner")
+        if (
+            not member.voter
+            and silent_s_by_name[member.name] > SILENT_LEARNER_TIMEOUT_S
+        ):
+            return DueChange(Step("remove", member), "silent learner")
     return None
--- a/tamarackhaven/fleet/_joining.py
+++ b/tamarackhaven/fleet/_joining.py
@@ -1,38 +1,38 @@
-"""Which control VMs one without a group asks to be let in, and when. Pure."""
+"""Decides which control VMs to ask for membership in the group, and when. Pure."""
 
 from tamarackhaven.fleet._addresses import HeardAddresses
 
-# Without a leader for so long, a member asks the others to be let in again.
-LONELY_S = 1.0
-JOIN_PAUSE_S = 0.5
+# A member without a leader for this long asks the others for membership again.
+LEADERLESS_TIMEOUT_S = 1.0
+JOIN_REQUEST_INTERVAL_S = 0.5
 
 
-class Joining:
-    """A control VM's search for the group that it belongs to.
+class GroupSearch:
+    """A control VM's search for the leader of its group.
 
-    Failure: the addresses in a newcomer's settings are those of followers, of VMs that
-    are gone, or of other newcomers. Symptom: it is never made a member, and the group
-    ends with the next losses. Enough: whoever is asked names all that it knows, so each
-    chain of living control VMs leads to the one that leads.
+    A newcomer's seeds may be followers, VMs that are gone, or other newcomers. If it
+    asked only them, it might never become a member, and the next losses could leave the
+    group without a quorum. So each VM that is asked answers with all addresses that it
+    knows, and each chain of running control VMs leads to the leader.
 
     Parameters
     ----------
     own : tuple of (str, int)
-        Where this VM takes links.
+        This VM's link address.
     now : float
-        Seconds of any steady clock.
+        Seconds of any monotonic clock.
     """
 
     def __init__(self, own, now):
         self._own = own
-        self._heard_of = HeardAddresses()
-        self._lonely_since_s = now
-        self._asked_s = float("-inf")
-        self._asked = frozenset()
+        self._received_addresses = HeardAddresses()
+        self._leaderless_since_s = now
+        self._last_request_s = float("-inf")
+        self._asked_addresses = frozenset()
 
-    def heard_of(self, addresses):
-        """Note where other control VMs take links."""
-        self._heard_of.add(addresses)
+    def add_addresses(self, addresses):
+        """Add link addresses of other control VMs, pairs of host and port."""
+        self._received_addresses.add(addresses)
 
     def addresses(self, membership, seeds):
         """Return all known addresses of other control VMs.
@@ -40,43 +40,43 @@
         Parameters
         ----------
         membership : Membership
-            The newest one that this VM has; it may be long out of date.
+            The newest one that this VM has; it may be outdated.
         seeds : iterable of (str, int)
-            Those of its settings.
+            From its settings.
         """
         members = {(member.host, member.port) for member in membership.members}
-        return frozenset({*members, *seeds, *self._heard_of} - {self._own})
+        return frozenset({*members, *seeds, *self._received_addresses} - {self._own})
 
-    def to_ask(self, status, seeds, now):
-        """Return the addresses to ask now; empty if this VM has its group.
+    def addresses_to_ask(self, status, seeds, now):
+        """Return the addresses to ask now; none if this VM has a leader.
 
         Parameters
         ----------
         status : Status
-            Of the consensus member.
+            Of this VM's consensus member.
         seeds : iterable of (str, int)
             As for ``addresses``.
         now : float
             As for the constructor.
         """
         if status.leader:
-            self.note_leader(now)
+            self.record_leader(now)
         is_member = status.name in status.membership.by_name
-        if is_member and self.lonely_s(now) < LONELY_S:
+        if is_member and self.leaderless_s(now) < LEADERLESS_TIMEOUT_S:
             return frozenset()
         addresses = self.addresses(status.membership, seeds)
-        if now - self._asked_s >= JOIN_PAUSE_S:
-            self._asked_s = now
-            self._asked = addresses
+        if now - self._last_request_s >= JOIN_REQUEST_INTERVAL_S:
+            self._last_request_s = now
+            self._asked_addresses = addresses
             return addresses
-        new = addresses - self._asked
-        self._asked |= new
+        new = addresses - self._asked_addresses
+        self._asked_addresses |= new
         return new
 
-    def note_leader(self, now):
-        """Note that this VM has a leader, or leads."""
-        self._lonely_since_s = now
+    def record_leader(self, now):
+        """Record that this VM has a leader, or leads."""
+        self._leaderless_since_s = now
 
-    def lonely_s(self, now):
-        """Return for how many seconds this VM has had no leader."""
-        return now - self._lonely_since_s
+    def leaderless_s(self, now):
+        """Return the seconds that this VM has been without a leader."""
+        return now - self._leaderless_since_s
--- a/tamarackhaven/fleet/_ranges.py
+++ b/tamarackhaven/fleet/_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of keys that lie in order without gap or overlap. Pure."""
+"""Operations on ordered key ranges without gap or overlap. Pure."""
 
 import bisect
 import itertools
@@ -9,7 +9,7 @@
 
 
 def whole():
-    """Return the ranges of a service whose keys nobody owns yet."""
+    """Return the ranges of a service whose keys have no owner yet."""
     return (KeyRange(0, KEY_COUNT - 1),)
 
 
@@ -23,25 +23,25 @@
     new : iterable of KeyRange
         Without overlap.
     """
-    new = sorted(new, key=_first)
+    new = sorted(new, key=_first_key)
     result = []
-    ahead = 0
+    next_new = 0
     for old in ranges:
-        while ahead < len(new) and new[ahead].last < old.first:
-            ahead += 1
-        if ahead == len(new) or new[ahead].first > old.last:
+        while next_new < len(new) and new[next_new].last < old.first:
+            next_new += 1
+        if next_new == len(new) or new[next_new].first > old.last:
             result.append(old)
         else:
-            result.extend(_cut(old, new[ahead:]))
-    return _joined(sorted([*result, *new], key=_first))
+            result.extend(_remainder(old, new[next_new:]))
+    return _merged(sorted([*result, *new], key=_first_key))
 
 
-def _first(each):
+def _first_key(each):
     return each.first
 
 
-def _cut(old, new):
-    """Return what is left of ``old`` outside ``new``."""
+def _remainder(old, new):
+    """Yield the parts of ``old`` that ``new``, ordered by first key, doesn't cover."""
     first = old.first
     for each in new:
         if each.first > old.last:
@@ -53,19 +53,19 @@
         yield attrs.evolve(old, first=first)
 
 
-def _joined(ranges):
-    """Join neighbours that differ in their keys only; fewer rows fit a heartbeat."""
+def _merged(ranges):
+    """Merge adjacent ranges that differ only in keys, to keep heartbeats small."""
     result = []
     for each in ranges:
-        if result and _is_held_alike(result[-1], each):
+        if result and _differ_only_in_keys(result[-1], each):
             result[-1] = attrs.evolve(result[-1], last=each.last)
         else:
             result.append(each)
     return tuple(result)
 
 
-def _is_held_alike(one, other):
-    """Whether two ranges differ in their keys only."""
+def _differ_only_in_keys(one, other):
+    """Whether two ranges have the same fence, owner and handover."""
     return (
         one.fence == other.fence
         and one.owner == other.owner
@@ -74,7 +74,13 @@
 
 
 class RangeIndex:
-    """Finds the range of a key."""
+    """Finds the range of a key by binary search.
+
+    Parameters
+    ----------
+    ranges : tuple of KeyRange
+        In order, covering all keys.
+    """
 
     def __init__(self, ranges):
         self.ranges = ranges
@@ -86,12 +92,12 @@
 
 
 def overlaps(one, other):
-    """Tell whether two ranges share a key."""
+    """Return whether two ranges share a key."""
     return one.first <= other.last and other.first <= one.last
 
 
 def has_overlap(ranges):
-    """Tell whether any two of several ranges share a key."""
+    """Return whether any two of several ranges share a key."""
     ordered = sorted(ranges, key=lambda each: each.first)
     return any(
         following.first <= before.last
