--- a/tamarackhaven/sidecar/__init__.py
+++ b/tamarackhaven/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon beside a target: callers' requests, the gate, the target's keys."""
+"""The daemon beside a target: routes requests, runs the gate and grants keys."""
 
 from tamarackhaven.sidecar._called_holds import GrantOrder, OrderEnd, ReleaseOrder
 from tamarackhaven.sidecar._daemon import Daemon
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request: route, service, target, and what follows a refusal."""
+"""Routes callers' requests to a service and a target, and retries after a refusal."""
 
 import asyncio
 import itertools
@@ -21,32 +21,34 @@
 )
 from tamarackhaven.sidecar._offers import Ask, Offers
 
-# The answer to a caller leaves this long before its time is over.
+# The answer to a caller is sent this long before the caller's deadline.
 ANSWER_MARGIN_S = 0.015
-# A daemon that knows no configuration yet, or no target, hears of it within this time.
+# A daemon without a configuration, or without a target of a service, usually receives
+# one within this time. It's also the retry time that refused callers are given.
 UNKNOWN_RETRY_S = 0.3
-# Load: keys whose owner is gone for as long as a lease. Harm: callers are held for an
-# answer that can't come. Limit: this part of the time that is left; a move of keys
-# takes about a heartbeat, which fits, the loss of a VM does not.
+# Keys whose owner is lost have no owner until its lease expires, and callers would wait
+# for an answer that can't come. They wait for this fraction of the time left: a move of
+# keys takes about a heartbeat, which fits; replacing a lost VM doesn't.
 OWNER_PATIENCE = 0.5
 OWNER_RETRY_S = 0.5
-# Load: daemons are restarted in turn, each away for about a second. Harm: callers for
-# its target's keys give up just before it is back, and come again just too late. Limit:
-# a restart that was announced is soon over; they wait for this part of their time.
+# In a rolling restart each daemon is away for about a second. Callers for its target's
+# keys would time out just before it is back, and their retries would come too late. An
+# announced restart is over soon, so they wait for this larger fraction of the time
+# left.
 RESTART_PATIENCE = 0.7
-# An owner that refused since its keys move is asked again after this time, or when the
-# view changes.
+# A request that was refused because its key is moving is sent again after this time, or
+# when the view changes.
 OWNER_POLL_S = 0.1
-# A request is sent again only if this part of its objective is left until its deadline:
-# less than half of them are answered in less.
+# A request is retried only if this fraction of its objective is left until its
+# deadline: less than half of all requests are answered in a shorter time.
 REPEAT_LEFT_PART = 0.3
-# Targets of a shared service that a request is offered to before it is refused.
+# A request to a shared service is refused after this many targets have refused it.
 MOST_REFUSALS = 3
-# Kinds after which a caller's request may find room at another target.
+# Kinds of refusals after which another target may have capacity for the request.
 _FULL = frozenset({ErrorKind.QUEUE_FULL.name, ErrorKind.TARGET_COLD.name})
-# Kinds of refusals by which the target or its daemon is out of reach for now.
+# Kinds of refusals that mean that the target or its daemon is unreachable for now.
 _AWAY = frozenset({ErrorKind.OWNER_UNREACHABLE.name, ErrorKind.TARGET_UNREACHABLE.name})
-# Kinds that no caller should see: they speak of places, and the request may come back.
+# Kinds that are internal to the fleet, each with the kind that callers get instead.
 _KIND_FOR_CALLERS = {
     ErrorKind.NOT_OWNER: ErrorKind.MOVING,
     ErrorKind.DEADLINE_PAST: ErrorKind.QUEUE_TIMEOUT,
@@ -55,14 +57,21 @@
 
 @attrs.define
 class _Asked:
-    """One caller's request on its way.
+    """A caller's request that hasn't been answered yet.
 
     Parameters
     ----------
+    request : CallerRequest
+        As the caller sent it.
+    route, spec : Route, ServiceSpec
+        Its route, and the service that was picked from it.
+    arrived_s, deadline_s, objective_s : float
+        When it arrived, when it must be answered, and until when its answer is in time,
+        in seconds of the boot clock.
     sends : int
-        How often a target got it.
+        How many times a target has received it.
     unsent_bytes : int
-        What waited for this daemon's links when it was last sent over one.
+        Bytes queued on this daemon's links when it was last sent to a peer.
     """
 
     request: object
@@ -76,31 +85,31 @@
 
     @property
     def is_safe(self):
-        """Whether it may run again."""
+        """Whether it may run more than once."""
         return self.route.kind is RequestKind.SAFE
 
 
 class Callers:
-    """Answers the callers on this daemon's VM.
+    """Handles the requests of callers on this daemon's VM.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Of the daemon.
+        Settings of the daemon.
     view : View
-        What the control group says.
+        Configuration, owners of keys and targets, as received from the control group.
     state : TargetState
-        Of the target beside this daemon.
+        State of the target beside this daemon.
     dialect : Dialect
-        Headers of callers.
+        Reads and writes the headers of callers.
     runs : Runs
-        Of this daemon.
+        Runs requests at the target beside this daemon.
     peers : Peers
-        Other daemons.
+        Links to other daemons.
     log : Log
-        Of the part ``caller``.
+        Log of the part ``caller``.
     metrics : Metrics
-        Of the process.
+        Metrics of the process.
     """
 
     def __init__(self, settings, view, state, dialect, runs, peers, log, metrics):
@@ -160,7 +169,13 @@
         return table.configuration.version if table else 0
 
     async def _read(self, request):
-        """Return the ``_Asked`` of a request."""
+        """Return the ``_PendingRequest`` for an ``HttpRequest``.
+
+        Raises
+        ------
+        TamarackhavenError
+            DRAINING, BAD_HEADER, STATE_STALE, UNKNOWN_SERVICE or MISSING_KEY.
+        """
         if self.is_closing:
             raise TamarackhavenError(ErrorKind.DRAINING, "", UNKNOWN_RETRY_S)
         caller = self._dialect.read_request(request)
@@ -181,9 +196,9 @@
     def _no_route(self, path):
         """Return the error for a path without a route.
 
-        Failure: a new route is accepted while this daemon's link to the leader is full.
-        Symptom: a caller hears that there is no such thing, and gives up. Enough: who
-        can't be sure says so, and the caller comes back.
+        If a new route is accepted while this daemon's link to the leader is congested,
+        UNKNOWN_SERVICE would make the caller stop trying. A daemon whose view isn't
+        confirmed returns STATE_STALE instead, after which the caller retries.
         """
         if self._view.is_confirmed(boot_s()):
             return TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, path)
@@ -194,11 +209,17 @@
         )
 
     async def _table(self, request, caller):
-        """Return the ``RouteTable``, once there is one.
+        """Return the ``RouteTable``; wait for the first one.
+
+        When all daemons start at once, each needs some tenths of a second to receive
+        the configuration. Refusing every caller meanwhile would fail those that don't
+        retry, so a request waits for up to half of its caller's time, or for 0.3 s if
+        the caller names no deadline.
 
-        Load: all daemons start at once and must hear of the configuration first. Harm:
-        each caller is sent away in the tenths of a second that this takes, and many
-        have no other try. Limit: half of the time that a caller has.
+        Raises
+        ------
+        TamarackhavenError
+            STATE_STALE if no configuration arrives in that time.
         """
         time_s = UNKNOWN_RETRY_S
         if caller.deadline_ms is not None:
@@ -215,7 +236,13 @@
         return self._view.table
 
     async def _serve(self, asked):
-        """Return the target's ``Answered``, or raise."""
+        """Run a request at a target; return its ``Answered``.
+
+        Raises
+        ------
+        TamarackhavenError
+            The kind of the last refusal or loss.
+        """
         self._budget(asked.spec.name).request(boot_s())
         if asked.spec.sharded:
             return await self._serve_owned(asked)
@@ -228,10 +255,10 @@
             self._budget_by_service[service] = budget
         return budget
 
-    # Owned keys.
+    # Sharded services.
 
     async def _serve_owned(self, asked):
-        """Run a request at the owner of its key, once it has one."""
+        """Run a request at the owner of its key; wait for an owner if it has none."""
         now = boot_s()
         left_s = asked.deadline_s - now
         patience_s = now + OWNER_PATIENCE * left_s
@@ -259,7 +286,7 @@
     # Shared services.
 
     async def _serve_shared(self, asked):
-        """Run a request at one of the service's targets."""
+        """Run a request at one of the targets of a shared service."""
         offers = Offers(self._chooser, asked.route.name, len(asked.request.body))
         refusals = 0
         failed = None
@@ -318,7 +345,7 @@
                 await self._view.changed(OWNER_POLL_S)
 
     async def _ask(self, asked, offers, targets):
-        """Ask targets for their waits, side by side; leave out those without one."""
+        """Query the expected waits at targets concurrently; skip those without one."""
         objective_ms = (asked.objective_s - boot_s()) * 1000
         query = WaitQuery(
             0,
@@ -340,17 +367,17 @@
         return await self._peers.ask((target.host, target.port), query)
 
     def _may_repeat(self, asked, end):
-        """Whether a request that a target got may be sent to a target again.
+        """Whether a request that a target has received may be sent again.
 
-        Load: many requests fail at once. Harm: their repeats add to the load that made
-        them fail. Limit: the attempts of the route, the budget that daemons share, and
-        only while an answer can still come.
+        When many requests fail at once, their retries add to the load that made them
+        fail. Retries are limited by the route's ``max_attempts``, by a budget that is
+        shared out among the daemons, and by the time left for an answer.
         """
         if not asked.is_safe and not isinstance(end, NotRun):
             return False
         if asked.sends >= asked.route.max_attempts:
             return False
-        # A repeat that can't be answered any more would only add to the load.
+        # A retry that can't be answered in time would only add load.
         least_s = REPEAT_LEFT_PART * asked.route.objective_s
         if boot_s() + least_s >= asked.deadline_s:
             return False
@@ -372,10 +399,13 @@
         )
         return allowed
 
-    # One send.
+    # A single attempt.
 
     async def _forward(self, asked, target, waits=True):
-        """Run the request at ``target``; return how it ended there."""
+        """Send the request to ``target``.
+
+        Return its ``Answered``, ``NotRun`` or ``Lost``.
+        """
         now = boot_s()
         if now >= asked.deadline_s:
             return NotRun(0, ErrorKind.QUEUE_TIMEOUT.name, OWNER_RETRY_S)
@@ -420,7 +450,7 @@
         )
 
     def _note_end(self, asked, target, end):
-        """Learn from the end of a send; None if its caller left."""
+        """Record the result of an attempt, None if the caller disconnected."""
         now = boot_s()
         if end is None:
             self._chooser.ended(target.life, asked.route.name, None, None, now)
@@ -428,7 +458,8 @@
         is_away = end.kind in _AWAY if isinstance(end, NotRun) else False
         if isinstance(end, Answered) or not isinstance(end, NotRun) or end.was_offered:
             asked.sends += 1
-        # An end that this daemon concluded by itself says nothing of the load there.
+        # A result that this daemon created itself, for example after a broken link,
+        # doesn't include the target's load.
         load = end.load if end.load != GateLoad() else None
         self._chooser.ended(target.life, asked.route.name, load, has_failed(end), now)
         if is_away:
@@ -457,7 +488,7 @@
 
 
 def _error(end):
-    """Return the error for a caller whose request ended like this."""
+    """Return the error for the caller of a request that wasn't answered."""
     return TamarackhavenError(
         _for_caller(ErrorKind[end.kind]),
         "",
@@ -466,12 +497,12 @@
 
 
 def _failed_or_error(failed, end):
-    """Return the target's own failure of an earlier try, or raise what came last."""
+    """Return the target's error answer to an earlier attempt, else raise an error."""
     if failed is None:
         raise _error(end)
     return failed
 
 
 def _for_caller(kind):
-    """Return the kind that a caller hears."""
+    """Return the kind to put into the answer to a caller."""
     return _KIND_FOR_CALLERS.get(kind, kind)
--- a/tamarackhaven/sidecar/_control_link.py
+++ b/tamarackhaven/sidecar/_control_link.py
@@ -1,4 +1,7 @@
-"""A daemon's session with the leading control VM: reports out, leases and news in."""
+"""A daemon's session with the leading control VM.
+
+The daemon sends reports; the leader answers with leases and sends updates of the view.
+"""
 
 import asyncio
 import collections
@@ -14,41 +17,44 @@
 )
 from tamarackhaven.net import dial
 
-# The lease is renewed several times within its length, and a leader learns of a
+# The lease is renewed several times before it expires, and a leader is notified of a
 # change within this time even if a message is lost.
 REPORT_S = 0.4
-# A leader confirms itself within some milliseconds; one that doesn't for so long has
-# lost its quorum, or the link is dead.
+# A leader answers a report within some milliseconds. If it doesn't within this time, it
+# has lost its quorum, or the link is dead.
 UNANSWERED_S = 1.0
-# Load: news of hundreds of routes on a small link. Harm: the answers stand behind it;
-# given up, the session starts afresh with the same news. Limit: a link that still
-# brings something is kept for this long, less than a lease.
+# An update of hundreds of routes on a small link delays the answers behind it. A
+# session that was closed because of this would start again with the same update. So a
+# link that still delivers data is kept for this long, which is less than a lease.
 UNANSWERED_BUSY_S = 2.5
-# All control VMs are asked again after a round, sooner if all have answered.
+# All control VMs are queried again after the maximum, or after the minimum if all of
+# them have answered by then.
 ROUND_S = 0.7
 SEARCH_PAUSE_S = 0.1
-# A full link holds a question and its answer up for seconds.
+# A congested link delays a query and its answer by seconds.
 ASK_TIMEOUT_S = 4.0
 REPORTS_REMEMBERED = 16
 
 
 class ControlLink:
-    """Finds the leader again and again, and keeps a session with it.
+    """Finds the leader, and keeps a session with it until it's lost.
 
     Parameters
     ----------
     make_hello : callable
-        Gives the ``DaemonHello``: who this daemon is, and what it has.
+        Returns the ``DaemonHello`` with the daemon's identity and the parts of the view
+        that it has.
     make_report : callable
-        ``make_report(number)`` gives a ``Report``.
+        ``make_report(number)`` returns a ``Report``.
     take : callable
-        ``take(message)`` for parts of the view.
+        ``take(message)`` is called with each message about the view.
     take_grant : callable
-        ``take_grant(grant, asked_s)``.
+        ``take_grant(grant, asked_s)`` is called with each ``LeaseGrant`` and with when
+        its report was sent, in seconds of the boot clock.
     seeds : callable
-        Gives the addresses of the settings as they are now, as (host, port).
+        Returns the control addresses of the current settings, as (host, port).
     log : Log
-        Of the part ``control``.
+        Log of the part ``control``.
     """
 
     def __init__(self, make_hello, make_report, take, take_grant, seeds, log):
@@ -69,11 +75,11 @@
         self.confirmed_s = float("-inf")
 
     def kick(self):
-        """Send a report now."""
+        """Send a report without waiting for the interval."""
         self._urgent.set()
 
     async def run(self):
-        """Keep a session until cancelled."""
+        """Keep a session with the leader until cancelled."""
         try:
             while True:
                 session = await self._find_leader()
@@ -90,16 +96,16 @@
     # Search.
 
     async def _find_leader(self):
-        """Return a session with the leader, once one is found.
+        """Query all control VMs until one leads; return a session with it.
 
-        All control VMs are asked again and again, and a session that has fallen silent
-        goes on if it is the first to answer.
+        A session that has fallen silent is continued if its leader is the first to
+        answer.
 
-        Load: a link so full that an answer takes seconds. Harm: each question is given
-        up before its answer comes, and the daemon goes by an old configuration for as
-        long as the link is full. Limit: questions overlap, and each has the time that
-        the fullest links need; a dead leader is still looked for several times a
-        second.
+        On a congested link an answer takes seconds. If each query were cancelled before
+        the next round, the daemon would use an old configuration for as long as the
+        link is congested. So queries of several rounds overlap, and each has the time
+        that the most congested links need; after the loss of a leader, a new one is
+        still looked for several times a second.
         """
         asking = set()
         found = None
@@ -114,7 +120,7 @@
         return found
 
     async def _first_answer(self, asking, newest):
-        """Return the first session with a leader within one round, else None."""
+        """Return the first session with a leader in this round, else None."""
         revived = asyncio.create_task(self._revived.wait())
         next_s = boot_s() + SEARCH_PAUSE_S
         ends_s = boot_s() + ROUND_S
@@ -139,7 +145,7 @@
         return None
 
     async def _ask(self, address):
-        """Return a session with ``address`` if the leader is there, else None."""
+        """Return a session with the control VM at an address if it leads, else None."""
         hints = asyncio.Queue()
         session = _Session(self, hints)
         ends_s = boot_s() + ASK_TIMEOUT_S
@@ -173,7 +179,7 @@
     # Session.
 
     async def _keep(self, session):
-        """Report until the leader is silent or the link has ended."""
+        """Send reports until the leader stops answering or the link is closed."""
         self._begin(session)
         link = session.link
         started_s = boot_s()
@@ -196,7 +202,7 @@
         self._revived.clear()
 
     def _begin(self, session):
-        """Let a session take the place of the former one, if it is another."""
+        """Replace the former session, unless ``session`` is that one."""
         if session is self._session:
             return
         if self._session is not None:
@@ -208,7 +214,10 @@
         session.begin()
 
     def _is_lost(self, link, started_s, now):
-        """Whether the leader has not answered for too long."""
+        """Whether the leader hasn't answered for too long.
+
+        Times are in seconds of the boot clock.
+        """
         asked_s = max(self._oldest_unanswered_s(now), started_s)
         if now - asked_s > UNANSWERED_BUSY_S:
             return True
@@ -228,7 +237,7 @@
         link.send(self._make_report(self._number))
 
     def on_session_message(self, session, message):
-        """Take in a message of the leader."""
+        """Handle a message of the leader."""
         if session is not self._session:
             return
         if isinstance(message, LeaseGrant):
@@ -242,13 +251,13 @@
             self._take(message)
 
     def on_session_closed(self, session):
-        """End the session."""
+        """Wake the loop that sends reports, since the link of its session is closed."""
         if session is self._session:
             self._closed.set()
 
 
 async def _give_up(asking):
-    """End questions; abort the links of those that found a leader meanwhile."""
+    """Cancel queries; abort the links of those that have just found a leader."""
     for task in asking:
         task.cancel()
     for result in await asyncio.gather(*asking, return_exceptions=True):
@@ -257,12 +266,12 @@
 
 
 class _Session:
-    """Routes one link's messages: first the hint, then to the session.
+    """Passes the hint on a link to the search, and other messages to the session.
 
-    Failure: two control VMs say that they lead, and one link is spare. Symptom: its end
-    counts as that of the link in use, and a report follows the other without a pause.
-    Enough: nothing of a link counts before its session begins, and one begins at a
-    time.
+    Two control VMs may both claim to lead, and then one link isn't used. If its closing
+    counted as that of the link in use, reports would follow each other without a pause.
+    So messages and the closing of a link are ignored until its session begins, and only
+    one session is in use at a time.
     """
 
     def __init__(self, owner, hints):
@@ -273,7 +282,7 @@
         self.link = None
 
     def begin(self):
-        """Pass on what came early, and from now on all that comes."""
+        """Deliver the messages received so far, and from now on each new one."""
         self._has_begun = True
         for message in self._early:
             self._owner.on_session_message(self, message)
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a fleet: its addresses, its parts, its start and its stop."""
+"""Assembles a daemon: its servers and parts, and how it starts and stops."""
 
 import asyncio
 import os
@@ -18,33 +18,33 @@
 from tamarackhaven.sidecar._target_state import TargetState
 from tamarackhaven.sidecar._view import View
 
-# The platform asks once a second whether the daemon is ready and needs two misses
-# before callers stay away; what they send until then is still served.
+# The platform checks readiness once a second, and callers stop using
+# the daemon after two failed checks. Requests that arrive until then are still served.
 LEAVE_AT_LEAST_S = 2.6
-# The last part of the grace time is left for the process to end by itself.
+# This last part of the grace time is left for the process to exit by itself.
 END_MARGIN_S = 0.4
-# Callers' requests may still be on their way for so long after the last one; other
-# daemons know by then that this one takes nothing new.
+# After the last request of a caller, others may still be in flight for this long. By
+# then other daemons have been notified that this one accepts no new requests.
 QUIET_S = 0.3
 TARGET_QUIET_S = 0.05
 POLL_S = 0.05
 
 
 class Daemon:
-    """The process beside one target; everything runs on one event loop.
+    """The daemon beside one target; everything runs on one event loop.
 
     Parameters
     ----------
     settings : DaemonSettings
         Checked settings.
     dialect : Dialect
-        Headers of callers and targets.
+        Reads and writes the headers of callers and targets.
     registry : callable
-        ``registry(daemon)`` gives the HTTP handler of the target's heartbeats.
+        ``registry(daemon)`` returns the HTTP handler of the target's heartbeats.
     log : Log
-        Of the process.
+        Log of the process.
     metrics : Metrics
-        Of the process.
+        Metrics of the process.
     """
 
     def __init__(self, settings, dialect, registry, log, metrics):
@@ -110,12 +110,12 @@
         self.inbound.on_ended = self._control.kick
 
     async def start(self):
-        """Listen on all addresses and look for the control group.
+        """Listen on all addresses and start to search for the leader.
 
         Raises
         ------
         TamarackhavenError
-            PORT_TAKEN, naming the setting.
+            PORT_TAKEN, with the name of the setting.
         """
         settings = self.settings
         place = split(settings.links_listen or settings.links)
@@ -130,12 +130,12 @@
         self.log.say("started", zone=settings.zone, service=settings.service)
 
     def reload(self, settings):
-        """Take the settings that may change while the process runs."""
+        """Apply the settings that may change while the process runs."""
         self.settings = settings
         self.log.say("settings reloaded", seeds=settings.seeds)
 
     async def stop(self):
-        """Leave: finish what came, let callers go elsewhere, then close."""
+        """Stop: finish requests, wait until callers use other daemons, then close."""
         self._is_leaving = True
         started_s = boot_s()
         self.log.say("stopping", running=self.inbound.running)
@@ -160,24 +160,29 @@
         )
         for task in self._tasks:
             task.cancel()
-        for server in (self._callers, self._readiness, self._registry, self._links):
+        for server in (
+            self._callers,
+            self._readiness,
+            self._registry,
+            self._links,
+        ):
             server.close()
         self._peers.close()
         self.inbound.close()
 
     def _take_nothing_new(self):
-        """Refuse what comes from now on.
+        """Refuse all requests from now on.
 
-        Failure: callers that know no other daemon go on sending until the process
-        must end. Symptom: what it took last is cut without an answer. Enough: what
-        was taken by now has the rest of the grace time, longer than routes allow.
+        Callers that know no other daemon keep sending until the process has to exit,
+        and the last requests would be cut off without an answer. Those accepted by now
+        have the rest of the grace time, which is longer than the timeouts of routes.
         """
         self.inbound.is_closing = True
         self._caller_path.is_closing = True
         self._callers.stop_listening()
 
     def _tell_links(self):
-        """Set the gauges of bytes that have not arrived, for the metrics page."""
+        """Set the gauges of bytes in flight, for the metrics page."""
         intake = self.inbound.intake
         self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.left_bytes)
         self.metrics.gauge(
@@ -188,7 +193,7 @@
             "tamarackhaven_link_unsent_bytes", self._peers.unsent_bytes()
         )
 
-    # The control group.
+    # Control group.
 
     def _seeds(self):
         _, port = self._address
@@ -228,10 +233,10 @@
         self.inbound.target_changed()
 
     def _gives_keys(self, message):
-        """Whether the target beside this daemon has become the owner of keys.
+        """Whether a message makes the target beside this daemon the owner of keys.
 
-        The lease on them comes in answer to a report, and the next one is due only
-        after some tenths of a second.
+        The lease on them is granted in answer to a report, and the next regular report
+        is due only after some tenths of a second.
         """
         return isinstance(message, KeysView) and any(
             each.owner == self.state.life for each in message.ranges
@@ -256,10 +261,10 @@
         self.inbound.keys_told()
         self._key_calls.kick()
 
-    # The target.
+    # Target.
 
     def heartbeat(self, beat):
-        """Take in a heartbeat of the target; return its ``HeartbeatReply``."""
+        """Apply a heartbeat of the target; return its ``HeartbeatReply``."""
         before = self.state.target(boot_s())
         reply = self.state.take(beat, boot_s())
         after = self.state.target(boot_s())
@@ -279,13 +284,13 @@
         return reply
 
     def goodbye(self, name):
-        """Note that the target leaves."""
+        """Mark the target as draining, since it announced that it leaves."""
         self.state.leave(name, boot_s())
         self.log.say("target leaves", name=name)
         self.inbound.target_changed()
         self._control.kick()
 
-    # Answers.
+    # HTTP servers.
 
     async def _answer_ready(self, _request):
         is_ready = self.view.table is not None and not self._is_leaving
--- a/tamarackhaven/sidecar/_dialect.py
+++ b/tamarackhaven/sidecar/_dialect.py
@@ -1,6 +1,7 @@
-"""What a daemon needs to know about the HTTP headers of callers and targets.
+"""Interface to the HTTP headers and calls of a deployment.
 
-A deployment gives an implementation; the rest of the daemon knows no header's name.
+A deployment provides an implementation; the rest of the daemon contains no header
+names.
 """
 
 import abc
@@ -11,22 +12,22 @@
 
 @attrs.frozen
 class CallerRequest:
-    """What a caller asks for.
+    """A caller's request.
 
     Parameters
     ----------
     attempt_id : str
-        Names this attempt; at most one run of an unsafe request has it.
+        Identifies this attempt. An unsafe request runs at most once with the same one.
     deadline_ms : float or None
-        How long the caller waits, from when it sent the request.
+        How long the caller waits, in milliseconds from when it sent the request.
     key : int or None
         Key of the request, for sharded services.
     host, method, target : str
-        As sent.
+        As received.
     headers : tuple of (bytes, bytes)
-        Those that are passed on.
+        Those that are forwarded to the target.
     body : bytes
-        Whole.
+        The complete body.
     """
 
     attempt_id: str
@@ -40,17 +41,17 @@
 
 
 class Verdict(enum.Enum):
-    """What a target's reply says of a request."""
+    """Meaning of a target's reply to a request."""
 
-    ANSWERED = "answered"  # it ran; the reply goes to the caller
-    REFUSED = "refused"  # it did not run: no room
-    NOT_HERE = "not here"  # it did not run: another target, or not its key
-    INVALID = "invalid"  # nothing is certain; the reply can't be passed on
+    ANSWERED = "answered"  # it ran; the reply is returned to the caller
+    REFUSED = "refused"  # it did not run: the target is at capacity
+    NOT_HERE = "not here"  # it did not run: other target, or key not held
+    INVALID = "invalid"  # it may have run; the reply can't be returned
 
 
 @attrs.frozen
 class TargetCall:
-    """A call to the target that is no caller's request."""
+    """A call of the daemon itself to the target."""
 
     method: str
     target: str
@@ -77,11 +78,11 @@
 
     @abc.abstractmethod
     def is_reply_to(self, reply, attempt_id):
-        """Tell whether a reply belongs to the attempt, as far as it says."""
+        """Return whether a reply belongs to the attempt, as far as it says."""
 
     @abc.abstractmethod
     def judge(self, reply, attempt_id):
-        """Return the ``Verdict`` on a ``Reply``."""
+        """Return the ``Verdict`` for a ``Reply`` to the attempt."""
 
     @abc.abstractmethod
     def refusal(self, error):
@@ -93,4 +94,4 @@
 
     @abc.abstractmethod
     def order_end(self, order, reply):
-        """Return the ``OrderEnd`` that a ``Reply`` means, and a handover or ""."""
+        """Return the ``OrderEnd`` that a ``Reply`` means, and its handover, else ""."""
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -1,4 +1,4 @@
-"""Runs requests at the target: key, gate, send, and what the reply means."""
+"""Runs requests at the target: checks the key, waits at the gate, sends."""
 
 import asyncio
 import itertools
@@ -16,46 +16,47 @@
 from tamarackhaven.sidecar._pulse import Pulse
 from tamarackhaven.sidecar._target_client import SendEnd, TargetClient
 
-# The target answers a deadline that it keeps itself a little earlier, so that its
-# answer is still in time and its connection stays usable.
+# The target gets a deadline that is earlier by this time: what it answers at its own
+# deadline then still arrives in time, and its connection stays usable.
 REPLY_MARGIN_S = 0.02
-# An owner in a zone that is out serves its keys for this part of the allowed time; the
-# rest covers a daemon that hears of the change late.
+# An owner in a zone that is out serves its keys for this fraction of the allowed time.
+# The rest covers a daemon that is notified late.
 ZONE_GRACE_PART = 0.4
-# A request for a key that is about to arrive looks for it so often, and whenever the
-# target was told of keys.
+# A request whose key is about to be granted checks for it at this interval, and
+# whenever the target may have been granted keys.
 KEY_POLL_S = 0.1
-# Load: a daemon that is cut off from the control VMs, and its target's new keys. Harm:
-# callers are held for a lease that doesn't come. Limit: this part of the time left.
+# While a daemon is cut off from the control VMs, the lease on its target's new keys
+# doesn't arrive. Callers for these keys wait for at most this fraction of the time
+# left.
 KEY_PATIENCE = 0.5
-# The gate is asked again when nothing else happens, so that a request that can't
-# start in time any more is told so.
+# The gate is checked at this interval even when nothing else happens, so that requests
+# that can no longer start in time are refused.
 SETTLE_S = 0.05
-# A target that refuses connections for so long, and so often, without a heartbeat
-# since, has ended: its port has no listener.
+# A target has ended if it has refused this many connections over this time and has sent
+# no heartbeat since the first one: nothing listens on its port.
 ENDED_REFUSALS = 3
 ENDED_AFTER_S = 0.5
 
 
 class Inbound:
-    """The way of requests to the target beside this daemon.
+    """Runs requests at the target beside this daemon.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Of the daemon.
+        Settings of the daemon.
     state : TargetState
-        Of the target.
+        State of the target.
     view : View
-        What the control group says.
+        Configuration, owners of keys and targets, as received from the control group.
     dialect : Dialect
-        Headers of the target.
+        Writes headers for the target and interprets its replies.
     host, port : str, int
         Address of the target.
     log : Log
-        Of the part ``gate``.
+        Log of the part ``gate``.
     metrics : Metrics
-        Of the process.
+        Metrics of the process.
     """
 
     def __init__(self, settings, state, view, dialect, host, port, log, metrics):
@@ -77,19 +78,19 @@
         self._told = Pulse()
         self._settling = None
         self.on_ended = lambda: None
-        # Failure: requests for this target's keys keep coming until the process must
-        # end. Symptom: those that run then are cut. Enough: nothing new starts in the
-        # last part of the grace time; who asks waits for the next process.
+        # Requests for this target's keys keep arriving until the process has to exit,
+        # and those that run at that moment would be cut off. So nothing new starts in
+        # the last part of the grace time; callers wait for the next process.
         self.is_closing = False
 
     @property
     def running(self):
-        """Requests that wait or run at the target."""
+        """Number of requests that wait at the gate or run at the target."""
         return self._gate.running + self._gate.waiting
 
     @property
     def work_s(self):
-        """Mean time of all the target's answers of late, 0 before the first one."""
+        """Mean time of the target's recent answers, in seconds; 0 before the first."""
         return self._gate.work_s if self._gate.has_worked else 0.0
 
     def load(self, route=""):
@@ -106,11 +107,11 @@
         )
 
     def key_load(self, now):
-        """Return the requests a second for keys, as ``KeyLoad.rates`` does."""
+        """Return the requests per second for keys, as ``KeyLoad.rates`` does."""
         return self._key_load.rates(now)
 
     def target_changed(self):
-        """Follow the slots and the cold state that the target told."""
+        """Apply the slots and the cold state that the target reported."""
         beat = self._state.heartbeat
         if beat is not None:
             self._gate.slots = max(beat.slots, 1)
@@ -118,7 +119,7 @@
         self._carry_out(self._gate.settle(boot_s()))
 
     def keys_told(self):
-        """Wake the requests for keys that the target may have been told to hold."""
+        """Wake requests that wait for a key that the target may have been granted."""
         self._told.set()
 
     def _follow_cold(self):
@@ -129,7 +130,7 @@
         self._gate.set_cold(cold_starts(service.cold_per_s))
 
     def expected_wait_s(self, query):
-        """Return about how long a request would wait, None if none is taken."""
+        """Estimate the wait of a request in seconds, None if none is accepted."""
         is_open = self._state.takes_new(False, boot_s()) and not self.is_closing
         if not is_open or self._view.zone_out_since_s(self._settings.zone) is not None:
             return None
@@ -143,7 +144,7 @@
         return wait_s
 
     def is_sending(self, forward):
-        """Whether the target has a request, as far as this daemon knows."""
+        """Whether a request has been sent to the target and not answered yet."""
         return id(forward) in self._sending
 
     # One request.
@@ -185,7 +186,7 @@
         waited_s = boot_s() - offered_s
         if refuse is not None:
             return self._refused(forward, refuse)
-        # While it waited, the target may have begun to leave, or lost the key.
+        # The target may have begun to leave, or lost the key, while the request waited.
         refusal = self._closed(forward) or self._not_held(forward)
         if refusal is not None:
             self._carry_out(self._gate.finish(number, False, boot_s()))
@@ -207,7 +208,7 @@
             self._carry_out(self._gate.finish(number, worked, boot_s()))
 
     async def _bring(self, incoming, offer):
-        """Return the body of a request; a ``Refuse``, if need be, before it comes."""
+        """Receive a request's body; return it, or a ``Refuse`` before it is sent."""
         self._follow_cold()
         bring_s = self.intake.expected_s(incoming.size, offer)
         others_come = self.intake.left_bytes > 0
@@ -217,15 +218,15 @@
         return await self.intake.bring(incoming, offer)
 
     async def _not_here(self, forward, deadline_s):
-        """Return why the target must not get the request, or None."""
+        """Return the ``ErrorKind`` why the target must not get the request, or None."""
         kind = self._closed(forward)
         if kind is not None or forward.key < 0:
             return kind
         now = boot_s()
         patience_s = now + KEY_PATIENCE * (deadline_s - now)
         while not self._state.holds(forward.key, boot_s()):
-            # The keys are on their way: the target is told of them within a heartbeat.
-            # A refusal would send the caller away for longer than that.
+            # The target is granted an arriving key within a heartbeat. After a refusal
+            # the caller would stay away for longer than that.
             if not self._is_coming(forward):
                 return ErrorKind.NOT_OWNER
             if boot_s() + KEY_POLL_S >= patience_s:
@@ -236,10 +237,10 @@
         return self._closed(forward)
 
     def _is_coming(self, forward):
-        """Whether the target is about to be told to hold a request's key.
+        """Whether the target is about to be granted a request's key.
 
-        Its daemon may have heard of the new owner and not yet have got the lease. A
-        lease that goes by the same owners and leaves the key out means that it leaves.
+        This daemon may have received the new owner, but not yet the lease. A lease that
+        is based on the same owners and omits the key means that the key is moving away.
         """
         if self._state.is_granted(forward.key, boot_s()):
             return True
@@ -265,10 +266,10 @@
         return None
 
     def _is_zone_closed(self, forward):
-        """Whether the zone is out; an owner serves its keys a little longer.
+        """Whether the zone is out; for an owner's keys, only after a grace time.
 
-        Its keys move within a heartbeat or two. If they don't, since the control group
-        has other worries, nothing more may reach the target all the same.
+        Its keys normally move within a heartbeat or two. Even if the control group
+        fails to move them, no request may reach the target after the grace time.
         """
         since_s = self._view.zone_out_since_s(self._settings.zone)
         if since_s is None:
@@ -277,7 +278,7 @@
         return forward.key < 0 or boot_s() - since_s > grace_s
 
     async def _enter(self, offer):
-        """Wait for the gate; return a ``Refuse`` or None once the request starts."""
+        """Wait at the gate; return None once the request starts, else a ``Refuse``."""
         self._follow_cold()
         decision = self._gate.offer(offer, boot_s())
         if isinstance(decision, Refuse):
@@ -289,7 +290,7 @@
         if self._settling is None:
             self._settle_later()
         try:
-            # Not awaited itself: a caller that leaves must not cancel the decision.
+            # Awaiting the future itself would cancel it when a caller disconnects.
             await asyncio.wait([future])
         except asyncio.CancelledError:
             if future.done() and isinstance(future.result(), Start):
@@ -306,7 +307,7 @@
         self._settling = loop.call_later(SETTLE_S, self._settle)
 
     def _settle(self):
-        """Ask the gate again, as long as requests wait there."""
+        """Apply the gate's decisions, and repeat while requests wait there."""
         self._settling = None
         self._follow_cold()
         self._carry_out(self._gate.settle(boot_s()))
@@ -319,7 +320,7 @@
             if future is not None and not future.done():
                 future.set_result(decision)
             elif isinstance(decision, Start):
-                # Its caller left in the same moment; the place is free again.
+                # Its caller disconnected at the same moment: free the slot again.
                 self._carry_out(self._gate.finish(decision.number, False, boot_s()))
 
     # The target.
@@ -377,7 +378,7 @@
         return self._lost(forward, ErrorKind.ANSWER_MISMATCH, started_s, detail)
 
     def _note_refused(self, sent):
-        """Find out that the target has ended, before its lease runs out."""
+        """Detect that the target has ended, before its lease expires."""
         if not sent.is_refused:
             self._refused_since_s = None
             self._refusals = 0
@@ -394,7 +395,7 @@
             self._refused_since_s = None
             self.on_ended()
 
-    # Ends.
+    # Results.
 
     def _refused(self, forward, refuse):
         if forward.waits:
@@ -402,7 +403,7 @@
         return self._busy(forward, refuse)
 
     def _busy(self, forward, refuse):
-        """Tell the caller's daemon how long a wait would be; it logs its decision."""
+        """Report the expected wait to the caller's daemon, which logs its decision."""
         self._metrics.count("tamarackhaven_gate_busy_total", service=forward.service)
         return NotRun(
             forward.number,
@@ -449,7 +450,7 @@
         return Lost(forward.number, kind.name, self.load(forward.route))
 
     def _inputs(self):
-        """Return what decides about a request, for its log line."""
+        """Return the state that decides about a request, as fields for its log line."""
         state = self._state
         now = boot_s()
         return {
--- a/tamarackhaven/sidecar/_messages.py
+++ b/tamarackhaven/sidecar/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons: requests on their way to a target, and their ends."""
+"""Messages between daemons: forwarded requests, their bodies and their results."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class PeerHello:
-    """Opens a link; ``boot`` names this run of the caller's daemon."""
+    """Opens a link; ``boot`` names this run of the daemon that opens it."""
 
     boot: str
 
@@ -26,28 +26,30 @@
     Parameters
     ----------
     number : int
-        Unique within the sender's run; the same number again is the same request.
+        Unique within the sender's run. A repeated number means the same request.
     life : str
-        The target's life that shall run it.
+        Life of the target that is to run it.
     service, route : str
-        Where the request goes by the sender's configuration.
+        Service and route of the request by the sender's configuration.
     key : int
         The request's key, -1 if its service isn't sharded.
     attempt_id, method, target, headers, body
         As the caller sent them.
     caller_service : str
-        Service of the VM where the request came from.
+        Service of the VM that the request came from.
     is_safe : bool
-        Whether it may run again.
+        Whether it may run more than once.
     priority : int
         0 is the most urgent.
     left_ms, objective_ms : float
-        Time left when it was sent, until it must be answered and until an answer is
-        no longer in time, in milliseconds; the second may be below 0.
+        Time left when it was sent, until its deadline and until its answer is no longer
+        in time, in milliseconds. The latter may be negative.
     waits : bool
-        Whether it may wait at the gate; else ``NotRun`` says how long it would have to.
+        Whether it may wait at the gate. If not and the target is busy, ``NotRun`` gives
+        the expected wait.
     body_bytes : int
-        Size of a body that isn't in ``body``: the target's daemon asks for its parts.
+        Size of an announced body, which isn't in ``body``: the target's daemon requests
+        its parts.
     """
 
     number: int
@@ -71,7 +73,7 @@
 
 @attrs.frozen
 class BodyAsk:
-    """Asks for a part of an announced body, ``count`` bytes from ``offset``."""
+    """Requests a part of an announced body, ``count`` bytes from ``offset``."""
 
     number: int
     offset: int
@@ -89,21 +91,22 @@
 
 @attrs.frozen
 class GateLoad:
-    """How busy a target is, as its daemon sees it.
+    """Load of a target, as measured by its daemon.
 
     Parameters
     ----------
     running, waiting, slots : int
-        At the gate.
+        Requests that run and that wait at the gate, and requests that may run at once.
     work_ms : float
         Mean time of the target's answers to requests of the same route, in
         milliseconds; 0 before the first one.
     is_cold : bool
-        Whether the target takes little for now.
+        Whether the target is still cold after its start, so that its gate starts fewer
+        requests.
     arriving_bytes : int
-        Bytes of announced bodies that have yet to come to the target's daemon.
+        Bytes of announced bodies that the target's daemon has yet to receive.
     link_bytes_per_s : float
-        What its link has carried of late when bodies came; 0 if that isn't known.
+        Recent throughput of its link while bodies arrived, 0 if unknown.
     """
 
     running: int = 0
@@ -117,13 +120,13 @@
 
 @attrs.frozen
 class Answered:
-    """The target's whole answer.
+    """The target's complete answer to a request.
 
     Parameters
     ----------
     waited_ms, worked_ms, brought_ms : float
-        How long the request was at the gate, and at the target, and how long its body
-        took to come after it was announced, in milliseconds.
+        Time of the request at the gate and at the target, and time from the
+        announcement of its body until it had arrived, in milliseconds.
     """
 
     number: int
@@ -138,16 +141,16 @@
 
 @attrs.frozen
 class NotRun:
-    """The request did not run and won't.
+    """Reports that a request did not run and won't run.
 
     Parameters
     ----------
     kind : str
         Name of the ``ErrorKind``.
     retry_after_s : float
-        When a repeat may be of use.
+        Time after which a retry may succeed, in seconds.
     was_offered : bool
-        Whether the target itself refused it.
+        Whether it was sent to the target, and the target refused it.
     """
 
     number: int
@@ -159,7 +162,13 @@
 
 @attrs.frozen
 class Lost:
-    """The request may have run; no whole answer came. ``kind`` as in ``NotRun``."""
+    """Reports that a request may have run, but no complete answer was received.
+
+    Parameters
+    ----------
+    kind : str
+        Name of the ``ErrorKind``.
+    """
 
     number: int
     kind: str
@@ -168,7 +177,7 @@
 
 @attrs.frozen
 class WaitQuery:
-    """Asks how long a request would wait at the gate.
+    """Queries how long a request would wait at the gate.
 
     Parameters
     ----------
@@ -192,9 +201,9 @@
     Parameters
     ----------
     number : int
-        Of the query.
+        Number of the query.
     wait_s : float or None
-        None if nothing new is taken at all.
+        Expected wait in seconds, None if the target accepts no new requests.
     """
 
     number: int
@@ -203,14 +212,17 @@
 
 @attrs.frozen
 class Cancel:
-    """Nobody waits for this request any more."""
+    """Cancels a request whose result is no longer needed."""
 
     number: int
 
 
 @attrs.frozen
 class Leaving:
-    """The sender's process will stop soon; send it nothing that can go elsewhere."""
+    """Announces that the sender's process stops soon.
+
+    Requests that another target can run should no longer be sent to it.
+    """
 
 
 PEER_CODEC = Codec(
--- a/tamarackhaven/sidecar/_peers.py
+++ b/tamarackhaven/sidecar/_peers.py
@@ -1,7 +1,8 @@
-"""Requests on links between daemons.
+"""Forwards requests between daemons over links.
 
-A forward is known by its sender's run and its number. So a link that breaks or goes
-silent loses no request: the sender dials again and asks for the same numbers.
+A forward is identified by the ``boot`` of its sender and its number. So no request is
+lost with a link that breaks or goes silent: the sender reconnects and sends the same
+numbers again.
 """
 
 import asyncio
@@ -30,37 +31,46 @@
 )
 from tamarackhaven.sidecar._runs import REATTACH_S
 
-# While requests wait, a link that has been quiet for so long is probed, and given up
-# after so long: a link between zones answers within milliseconds. Most answers come
-# sooner; a probe with each request would double what crosses zones in small packets.
+# While requests wait, a link that has been silent for the probe interval is probed, and
+# one that has been silent for the timeout is closed: a link between zones answers
+# within milliseconds. Most answers arrive before the first probe; a probe with each
+# request would double the number of small packets between zones.
 PROBE_S = 0.25
 SILENT_S = 0.75
 REDIAL_S = 0.05
-# Larger bodies are announced, and come when they are asked for; on the smallest links
-# of VMs, some megabits a second, this takes some hundredths of a second.
+# Larger bodies are announced and sent on request. On the smallest links of VMs, some
+# megabits per second, sending this many bytes takes some hundredths of a second.
 MOST_WHOLE_BYTES = 8192
-# The other daemon answers in time by itself; this is for one that can't.
+# The other daemon normally answers by the deadline; after this much longer the request
+# fails without its answer.
 LATE_S = 0.015
-# A question for a place takes some milliseconds; a daemon that is busier than that is
-# no better than the others.
+# A query of the expected wait takes some milliseconds. A daemon that is too busy to
+# answer it by then is no better choice than the others.
 ASK_TIMEOUT_S = 0.04
-# A daemon that leaves is gone after its grace time; a link that breaks silently must
-# not mark it for longer.
+# A leaving daemon has exited after its grace time. If its link breaks silently, it must
+# not count as leaving for longer than that.
 LEAVING_S = 8.0
-# A process that was stopped in order is back within this time, or its VM goes for good.
+# A process that was stopped in order is back within this time, or its VM is removed.
 RESTART_S = 2.0
 
 
 @attrs.define(eq=False)
 class _Open:
-    """A forward without an answer yet.
+    """A forward that hasn't been answered yet.
 
     Parameters
     ----------
+    forward : Forward
+        With its whole body.
+    deadline_s, objective_s : float
+        When it must be answered, and until when its answer is in time, in seconds of
+        the boot clock.
+    future : asyncio.Future
+        Gets its ``Answered``, ``NotRun`` or ``Lost``.
     is_known : bool
-        Whether the other daemon may know of it.
-    was_sent : bool
-        Whether it may have all that it needs to run it.
+        Whether the other daemon may have received it, or its announcement.
+    is_sent_whole : bool
+        Whether the other daemon may have received all of it, so that it may have run.
     """
 
     forward: Forward
@@ -72,11 +82,11 @@
 
     @property
     def is_announced(self):
-        """Whether its body is sent only when it is asked for."""
+        """Whether its body is sent only on request."""
         return len(self.forward.body) > MOST_WHOLE_BYTES
 
     def current(self, now):
-        """Return the forward with what is left of its time."""
+        """Return the forward to send at ``now``, with the time left."""
         left = {
             "left_ms": (self.deadline_s - now) * 1000,
             "objective_ms": (self.objective_s - now) * 1000,
@@ -86,12 +96,12 @@
         return attrs.evolve(self.forward, **left)
 
     def part(self, ask):
-        """Return the ``BodyPart`` that is asked for."""
+        """Return the ``BodyPart`` that a ``BodyAsk`` requests."""
         data = self.forward.body[ask.offset : ask.offset + ask.count]
         return BodyPart(ask.number, ask.offset, data)
 
     def send(self, link):
-        """Send the forward, or announce it."""
+        """Send the forward, without its body if that is announced."""
         if not link.send(self.current(boot_s())):
             return
         self.is_known = True
@@ -99,14 +109,14 @@
             self.was_sent = True
 
     def send_part(self, ask, link):
-        """Send a part of the body."""
-        # With the last byte on its way, it may run.
+        """Send the part of the body that a ``BodyAsk`` requests."""
+        # The request may run once the last byte has been sent.
         if ask.offset + ask.count >= len(self.forward.body):
             self.was_sent = True
         link.send(self.part(ask))
 
     def lose(self, kind):
-        """End it without an answer; ``kind`` if it may have run."""
+        """End it as ``Lost`` with ``kind`` if it may have run, else as ``NotRun``."""
         if self.future.done():
             return
         number = self.forward.number
@@ -117,7 +127,7 @@
 
 
 class _Peer:
-    """The link to one other daemon."""
+    """The link to one other daemon, and the forwards that are in flight to it."""
 
     def __init__(self, address, boot):
         self._address = address
@@ -134,16 +144,16 @@
 
     @property
     def is_restarting(self):
-        """Whether the daemon said that it stops, and is probably not back yet."""
+        """Whether the daemon announced that it stops, and is probably not back yet."""
         return boot_s() < max(self._leaving_until_s, self._restarting_until_s)
 
     @property
     def is_leaving(self):
-        """Whether the daemon said that it stops, and may still be about to."""
+        """Whether the daemon announced that it stops, and may still be running."""
         return boot_s() < self._leaving_until_s
 
     async def run(self, forward, deadline_s, objective_s):
-        """Send a request; return its end."""
+        """Send a request; return its ``Answered``, ``NotRun`` or ``Lost``."""
         future = asyncio.get_running_loop().create_future()
         entry = _Open(forward, deadline_s, objective_s, future)
         self._open_by_number[forward.number] = entry
@@ -167,10 +177,11 @@
             self._link.send(Cancel(entry.forward.number))
 
     async def ask(self, query):
-        """Return how long a request would wait there; None if it can't be known."""
+        """Return the expected wait of a request there in seconds, None if unknown."""
         if not self._is_ready:
             return None
-        # Two lives at one place are asked at the same time; each has its own answer.
+        # Two lives at one address may be queried at once; the number tells their
+        # replies apart.
         query = attrs.evolve(query, number=next(self._query_numbers))
         future = asyncio.get_running_loop().create_future()
         self._asked_by_number[query.number] = future
@@ -188,7 +199,7 @@
 
     @property
     def unsent_bytes(self):
-        """Bytes that this process has yet to hand to the link."""
+        """Bytes that are queued in this process for the link."""
         return self._link.unsent_bytes if self._link is not None else 0
 
     def _send(self, entry):
@@ -196,7 +207,7 @@
             entry.send(self._link)
 
     async def _keep(self):
-        """Keep a link as long as requests wait for it."""
+        """Keep the link open while requests are in flight."""
         try:
             while self._open_by_number:
                 link = self._link
@@ -218,7 +229,8 @@
                 self._address, PEER_CODEC, self._on_message, self._on_closed
             )
         except ConnectionRefusedError:
-            # No process listens: what was sent to it is lost with it.
+            # No process listens, so the one that had received requests has ended, and
+            # they are lost with it.
             self._give_up(keeps_unsafe=False)
             await asyncio.sleep(REDIAL_S)
             return
@@ -229,7 +241,7 @@
         self._link.send(PeerHello(self._boot))
 
     def _give_up(self, keeps_unsafe):
-        """End what waits; a sent unsafe request may be kept for a later answer."""
+        """Fail the forwards; ``can_keep_unsafe`` exempts unsafe ones that may run."""
         for entry in tuple(self._open_by_number.values()):
             is_running = entry.was_sent and not entry.forward.is_safe
             if keeps_unsafe and is_running and boot_s() < entry.deadline_s:
@@ -263,7 +275,7 @@
         self._welcomed = True
         for entry in tuple(self._open_by_number.values()):
             if restarted and entry.was_sent:
-                # The process that had it is gone, and with it what it knew.
+                # The process that had received it has ended, with all its state.
                 entry.lose(ErrorKind.FORWARD_LOST)
             else:
                 self._send(entry)
@@ -272,9 +284,9 @@
         if link is self._link:
             self._link = None
             self._welcomed = False
-            # Failure: nobody asks a daemon that leaves, so nobody finds out that it is
-            # back. Symptom: after all daemons were restarted once, no target is left.
-            # Enough: its process has ended with the link, the next one starts afresh.
+            # No requests are sent to a leaving daemon, so its return would go
+            # unnoticed, and after a rolling restart of all daemons no target would be
+            # left. Its process ends with the link, so the mark is removed here.
             if self.is_leaving:
                 self._restarting_until_s = boot_s() + RESTART_S
             self._leaving_until_s = float("-inf")
@@ -288,7 +300,13 @@
 
 
 class Peers:
-    """All other daemons that requests were sent to."""
+    """Links to all other daemons that requests were sent to.
+
+    Parameters
+    ----------
+    boot : str
+        Random name of this daemon's run.
+    """
 
     def __init__(self, boot):
         self._boot = boot
@@ -301,15 +319,22 @@
         return peer
 
     async def ask(self, address, query):
-        """Return the wait at the daemon at ``address`` in seconds, None if unknown."""
+        """Return the expected wait at the daemon at ``address``.
+
+        In seconds, None if unknown.
+        """
         return await self._peer(address).ask(query)
 
     async def run(self, address, forward, deadline_s, objective_s):
-        """Run a request at the daemon at ``address``; return its end."""
+        """Run a request at the daemon at ``address``.
+
+        Return its ``Answered``, ``NotRun`` or ``Lost``. Times are seconds of the boot
+        clock.
+        """
         return await self._peer(address).run(forward, deadline_s, objective_s)
 
     def unsent_bytes(self):
-        """Return the bytes that this process has yet to hand to its links."""
+        """Return the number of bytes that are queued in this process for its links."""
         return sum(peer.unsent_bytes for peer in self._peer_by_address.values())
 
     def is_restarting(self, address):
@@ -318,7 +343,7 @@
         return peer is not None and peer.is_restarting
 
     def is_leaving(self, address):
-        """Whether the daemon at ``address`` said that it stops soon."""
+        """Whether the daemon at ``address`` announced that it stops soon."""
         peer = self._peer_by_address.get(address)
         return peer is not None and peer.is_leaving
 
@@ -329,16 +354,16 @@
 
 
 class PeerServer:
-    """Answers the forwards of other daemons.
+    """Runs the forwards of other daemons and sends their results back.
 
     Parameters
     ----------
     boot : str
-        Random name of this run.
+        Random name of this daemon's run.
     runs : Runs
-        Of this daemon.
+        Runs requests at the target beside this daemon.
     intake : Intake
-        Brings the bodies that are announced.
+        Receives announced bodies.
     """
 
     def __init__(self, boot, runs, intake):
@@ -352,7 +377,7 @@
         self.is_leaving = False
 
     def on_message(self, link, message):
-        """Take in one message of a link."""
+        """Handle one message of a link."""
         if isinstance(message, PeerHello):
             self._boot_by_link[link] = message.boot
             self._link_by_boot[message.boot] = link
@@ -379,7 +404,8 @@
         key = (boot, forward.number)
         keys = self._keys_by_boot.setdefault(boot, set())
         if key in keys:
-            # It goes on; only its body may have been lost with the former link.
+            # It's still running; only parts of its body may have been lost with the
+            # former link.
             if key in self._body_by_key:
                 self._intake.renew(self._body_by_key[key])
             return
@@ -390,7 +416,7 @@
         task.add_done_callback(lambda done: self._answer(boot, forward, done))
 
     def _announced(self, boot, forward):
-        """Return the ``IncomingBody`` of a request, which its daemon still has."""
+        """Return the ``IncomingBody`` of a request whose body is sent on request."""
 
         def ask(offset, count):
             link = self._link_by_boot.get(boot)
@@ -412,7 +438,7 @@
             link.send(_end(forward, task))
 
     def on_closed(self, link):
-        """Give up what a link asked for, unless its daemon comes back at once."""
+        """Cancel the requests of a link, unless its daemon reconnects in time."""
         boot = self._boot_by_link.pop(link, None)
         if boot is None or self._link_by_boot.get(boot) is not link:
             return
@@ -427,18 +453,18 @@
             self._runs.cancel(key)
 
     def leave(self):
-        """Tell all daemons that this one stops soon."""
+        """Announce to all connected daemons that this one stops soon."""
         self.is_leaving = True
         for link in self._link_by_boot.values():
             link.send(Leaving())
 
 
 def _end(forward, task):
-    """Return the end of a request whose task is done."""
+    """Return the ``Answered``, ``NotRun`` or ``Lost`` of a task that is done."""
     number = forward.number
     if task.cancelled():
-        # Given up with a link, and asked for again on the next one. What a target
-        # works on is only cancelled if it may run again.
+        # Cancelled after its link broke, and sent again on the next one. A request that
+        # runs at the target is cancelled only if it may run more than once.
         if forward.is_safe:
             return Lost(number, ErrorKind.FORWARD_LOST.name)
         return NotRun(number, ErrorKind.OWNER_UNREACHABLE.name)
--- a/tamarackhaven/sidecar/_pulse.py
+++ b/tamarackhaven/sidecar/_pulse.py
@@ -1,21 +1,21 @@
-"""Wakes all who wait for the next change of something."""
+"""Wakes all tasks that wait for the next change of some state."""
 
 import asyncio
 
 
 class Pulse:
-    """An event that is over as soon as it has happened."""
+    """An event that wakes the tasks that wait for it, and is clear again at once."""
 
     def __init__(self):
         self._event = asyncio.Event()
 
     def set(self):
-        """Wake everybody who waits now."""
+        """Wake all tasks that wait at this moment."""
         self._event.set()
         self._event = asyncio.Event()
 
     async def wait(self, timeout_s):
-        """Wait for the next ``set``, ``timeout_s`` seconds at most."""
+        """Wait for the next ``notify_all``, for at most ``timeout_s`` seconds."""
         try:
             await asyncio.wait_for(self._event.wait(), timeout_s)
         except TimeoutError:
--- a/tamarackhaven/sidecar/_target_client.py
+++ b/tamarackhaven/sidecar/_target_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to the target over kept connections."""
+"""Sends requests to the target over persistent connections."""
 
 import enum
 
@@ -12,40 +12,52 @@
     RequestUnansweredError,
 )
 
-# The target is on the same VM: a connection takes about a millisecond, and a target
-# that is choked a little longer.
+# The target is on the same VM, where connecting takes about a millisecond, and a little
+# longer to an overloaded target.
 OPEN_TIMEOUT_S = 0.5
-# A connection is not reused in the last part of the time that the target keeps it: a
-# request that crosses its close may have run or not.
+# A connection isn't reused shortly before the target's idle timeout: a request that is
+# sent while the target closes the connection may or may not have run.
 KEEP_MARGIN_S = 1.0
 KEEP_MARGIN_PART = 0.25
-# What is kept where the target doesn't say.
+# Idle timeout assumed if the target doesn't name one.
 KEEP_DEFAULT_S = 3.0
-# A target that crashes right after a heartbeat isn't started again within this time.
+# A target that crashes right after a heartbeat can't be running again within this time.
 SAME_LIFE_S = 0.1
 ANY_TIME = float("inf")
 
 
 class _NoneOpenedByError(Exception):
-    """No connection is old enough, and a new one would not be."""
+    """No idle connection is old enough for the life, and it's too late to open one."""
 
 
 def any_reply(_reply):
-    """Take whatever comes as the answer."""
+    """Accept any reply as the answer."""
     return True
 
 
 class SendEnd(enum.Enum):
-    """How a send ended."""
+    """Outcome of sending a request."""
 
     REPLIED = "replied"
-    NOT_SENT = "not sent"  # nothing listened, or the connection was closed before
+    NOT_SENT = "not sent"  # nothing listened, or the connection was closed before it
     UNANSWERED = "unanswered"  # it may have run
 
 
 @attrs.frozen
 class Sent:
-    """What became of a send; ``reply`` only with REPLIED."""
+    """Result of sending a request.
+
+    Parameters
+    ----------
+    end : SendEnd
+        Outcome.
+    reply : Reply or None
+        Set only with REPLIED.
+    detail : str
+        The error, if there was one.
+    is_refused : bool
+        Whether the target refused the connection.
+    """
 
     end: SendEnd
     reply: Reply | None = None
@@ -54,12 +66,12 @@
 
 
 class TargetClient:
-    """The connections to one target; the newest used is used first.
+    """Pool of connections to one target; the one used last is reused first.
 
     Parameters
     ----------
     host, port : str, int
-        Of the target.
+        Address of the target.
     """
 
     def __init__(self, host, port):
@@ -70,19 +82,21 @@
         self.opened = 0
 
     async def send(self, method, target, headers, body, is_reply):
-        """Send a request; return ``Sent``. Cancelled, it closes its connection."""
+        """Send a request; return ``Sent``. Cancelling it closes its connection."""
         request = method, target, headers, body, is_reply
         return await self._send(request, ANY_TIME)
 
     async def send_to_life(self, method, target, headers, body, heard_s):
-        """Send a call to the process that was heard at ``heard_s``; return ``Sent``.
+        """Send a call to the life whose heartbeat came at ``heard_s``; return ``Sent``.
 
-        Failure: a target crashes, and its next life listens at the same address before
-        it is heard of. Symptom: the new life is told to hold keys under the token of
-        the former one. Enough: the call goes on a connection that was there when the
-        heartbeat came, or was opened right after it; one to a former life is closed.
+        If a target crashes, its next life may listen on the same address before its
+        first heartbeat, and would be told to hold keys with the fence of the former
+        life. So the call is sent only on a connection that was open when the heartbeat
+        was received, or was opened right after it; a connection to a former life
+        is closed by then. ``heard_s`` is in seconds of the boot clock.
 
-        NOT_SENT also if there is no such connection before the next heartbeat.
+        The result is NOT_SENT also if there is no such connection before the next
+        heartbeat.
         """
         opened_by_s = heard_s + SAME_LIFE_S
         request = method, target, headers, body, any_reply
@@ -121,19 +135,24 @@
         return await ClientConnection.open(self._host, self._port, OPEN_TIMEOUT_S)
 
     async def keep(self, count):
-        """Have ``count`` idle connections, for a heartbeat to vouch for."""
+        """Open idle connections until there are ``count`` in all, also those in use.
+
+        They are open when the next heartbeat arrives, so ``send_to_life`` can use them
+        from then on.
+        """
         while len(self._idle) + self._used < count:
             try:
                 self._give_back(await self._open())
             except OSError:
-                # Nothing listens; the next heartbeat is of a process that does.
+                # Nothing listens; the process that sends the next heartbeat will.
                 return
 
     def _take(self, opened_by_s):
         """Return an idle connection, None if none may be used.
 
-        The one used last, so that spare ones are closed in time; where the age counts,
-        the one used first, so that all are kept.
+        Without a limit on the age, it's the one used last, so that unneeded ones reach
+        their idle timeout; with a limit, the one idle for longest, so that all stay
+        open.
         """
         now = boot_s()
         is_any = opened_by_s == ANY_TIME
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -1,6 +1,6 @@
-"""What a daemon knows of the target beside it, and what it tells it to hold.
+"""A daemon's state of the target beside it, and the keys that it grants to the target.
 
-Pure: heartbeats, grants and the time come in.
+Pure: heartbeats, grants and the time are passed in.
 """
 
 import attrs
@@ -17,11 +17,12 @@
 from tamarackhaven.sidecar._called_holds import CalledHolds
 from tamarackhaven.sidecar._key_holds import HeartbeatHolds, HeartbeatReply
 
-# An owner goes on serving the keys it holds while they move, but for this part of the
-# time in which it must end; requests on their way arrive within it.
+# A draining owner continues to serve its keys while they move, until this long before
+# it has to stop. Requests that are in flight by then arrive within this time.
 DRAIN_MARGIN_S = 0.5
-# A target that is silent for so many heartbeats, and a second, gets nothing that can
-# go elsewhere: a heartbeat may be late by seconds, a crash sends none at all.
+# A target without a heartbeat for this many intervals and one second gets no requests
+# that another target can run. A heartbeat may be late by seconds; after a crash there
+# are none at all.
 SILENT_HEARTBEATS = 3
 
 _HOLDS_BY_ORDERS = {
@@ -32,16 +33,20 @@
 
 @attrs.frozen
 class Heartbeat:
-    """What a target says of itself.
+    """State that a target reports of itself.
 
     Parameters
     ----------
     name, born_ms
-        Its name, and the Unix millisecond of its start.
+        Its name, and when it was started, in milliseconds of Unix time.
     sequence : int
-        Rises with each heartbeat of a life.
+        Increases with each heartbeat of a life.
+    slots : int
+        How many requests it runs at once.
     cold_s : float
-        How much longer it is slow after its start.
+        How much longer it's slow after its start, in seconds.
+    holds, releases : tuple of Hold, tuple of Release
+        Keys that it holds, and keys that it has released.
     """
 
     name: str
@@ -57,14 +62,14 @@
 
 
 class TargetState:
-    """The present life of the target.
+    """State of the target's current life.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Of the daemon.
+        Settings of the daemon.
     host, port : str, int
-        Where other daemons reach this one.
+        Address at which other daemons reach this one.
     """
 
     def __init__(self, settings, host, port):
@@ -81,7 +86,7 @@
 
     @property
     def life(self):
-        """Name of the present life, empty before the first heartbeat."""
+        """Name of the current life, empty before the first heartbeat."""
         beat = self.heartbeat
         if beat is None:
             return ""
@@ -90,7 +95,7 @@
     # Heartbeats.
 
     def take(self, beat, now):
-        """Take in a heartbeat; return its ``HeartbeatReply``."""
+        """Apply a heartbeat; return its ``HeartbeatReply``."""
         if not self._accept(beat):
             return HeartbeatReply()
         self.heartbeat = beat
@@ -107,28 +112,31 @@
         return kind(self._settings.lease, self.life)
 
     def tell_keys_by(self, orders):
-        """Tell the target its keys in another way from now on, a ``HoldOrders``."""
+        """Set how the target is told its keys from now on, a ``HoldOrders``."""
         if orders is not self._orders_by:
             self._orders_by = orders
             self._keys = None
 
     def _accept(self, beat):
-        """Tell whether a heartbeat is newer than what is known."""
+        """Return whether a heartbeat is newer than the last one.
+
+        A heartbeat of a later life ends the current life.
+        """
         known = self.heartbeat
         if known is None:
             return True
         if (beat.name, beat.born_ms) == (known.name, known.born_ms):
             return beat.sequence > known.sequence
-        # Failure: a heartbeat of an earlier life comes late. Symptom: the daemon would
-        # take the living target for the dead one. Enough: the later start is the
-        # living one, and two can't listen at one address.
+        # A heartbeat of an earlier life may arrive late, and the daemon would take that
+        # life for the running one. The life that was started later is the running one,
+        # since two processes can't listen on one address.
         if beat.born_ms <= known.born_ms:
             return False
         self.end()
         return True
 
     def end(self):
-        """Forget the present life: it certainly runs no more."""
+        """End the current life, which is known not to run any more."""
         if self.heartbeat is not None:
             self.ended_lives.append(self.life)
             del self.ended_lives[:-8]
@@ -137,7 +145,7 @@
         self._keys = None
 
     def leave(self, name, now):
-        """Note that the target said goodbye."""
+        """Mark the target as draining, since it announced that it leaves."""
         if self.heartbeat is not None and self.heartbeat.name == name:
             self._leave(now)
 
@@ -149,11 +157,14 @@
 
     @property
     def keys(self):
-        """The ``KeyHolds`` of the present life, None before the first heartbeat."""
+        """Holds of the current life, None before the first heartbeat.
+
+        A ``HeartbeatHolds`` or a ``CalledHolds``.
+        """
         return self._keys
 
     def take_grant(self, grant, asked_s):
-        """Take in a grant; its lease counts from when it was asked for."""
+        """Apply a grant; its lease starts at ``asked_s``, when it was requested."""
         if self._keys is not None:
             self._keys.take_grant(grant, asked_s)
 
@@ -162,12 +173,12 @@
         return self._keys is not None and self._keys.holds(key, now)
 
     def is_granted(self, key, now):
-        """Whether the target holds ``key`` or is about to be told to."""
+        """Whether the target holds ``key`` or is about to be granted it."""
         return self._keys is not None and self._keys.is_granted(key, now)
 
     @property
     def keys_index(self):
-        """Log index of the owners that the newest grant goes by, -1 without one."""
+        """Log index of the owners that the newest grant is based on, -1 without one."""
         return self._keys.keys_index if self._keys else -1
 
     def held(self, now):
@@ -175,7 +186,7 @@
         return self._keys.held(now) if self._keys else ()
 
     def knows_holds(self, now):
-        """Whether ``held`` is all that the target may hold."""
+        """Whether ``held`` includes all that the target may hold."""
         return self._keys is not None and self._keys.is_known(now)
 
     @property
@@ -185,12 +196,12 @@
 
     @property
     def releases(self):
-        """What the target released of late."""
+        """Recent releases of the target, as a tuple of ``Release``."""
         return self._keys.releases if self._keys else ()
 
     @property
     def refused(self):
-        """What the target won't hold under its present token, as ``Hold`` tuple."""
+        """What the target refuses to hold with its current fence, as ``Hold`` tuple."""
         return self._keys.refused if self._keys else ()
 
     # Questions.
@@ -201,7 +212,7 @@
         return now - self.heard_s > limit_s
 
     def takes_new(self, is_sharded, now):
-        """Whether the target may get requests that it doesn't run yet."""
+        """Whether the target may get new requests; a draining one only for its keys."""
         if self.heartbeat is None:
             return False
         if self.leaving_since_s is None:
@@ -210,11 +221,21 @@
         return is_sharded and now - self.leaving_since_s < grace_s
 
     def is_cold(self, now):
-        """Whether the target is cold."""
+        """Whether the target is still slow after its start."""
         return now < self.cold_until_s
 
     def target(self, now, load=0.0, work_s=0.0):
-        """Return the ``Target`` for a report, None before the first heartbeat."""
+        """Return the ``Target`` for a report, None before the first heartbeat.
+
+        Parameters
+        ----------
+        now : float
+            Seconds of the boot clock.
+        load : float
+            Requests that run or wait, per slot.
+        work_s : float
+            Mean time of an answer, in seconds.
+        """
         beat = self.heartbeat
         if beat is None:
             return None
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -1,4 +1,4 @@
-"""What a daemon knows from the control group; it never goes back to older state."""
+"""A daemon's view of the control group's state, which never returns to an older one."""
 
 import functools
 
@@ -16,8 +16,8 @@
 from tamarackhaven.routing import Configuration, RouteTable, edited
 from tamarackhaven.sidecar._pulse import Pulse
 
-# A leader answers several times a second; without an answer for so long, what operators
-# have changed since may be unknown here.
+# A leader answers several times a second. Without an answer for this long, recent
+# changes by operators may be missing from the view.
 CONFIRMED_FOR_S = 1.5
 
 
@@ -38,15 +38,15 @@
         self._confirmed_s = float("-inf")
 
     def confirm(self, asked_s):
-        """Note that the leader answers what it was asked at a time of the boot clock.
+        """Record that the leader has answered a report that was sent at ``asked_s``.
 
-        It sends an answer behind all that it had accepted before the question, on the
-        same link.
+        The leader sends the answer on the same link after all changes that it had
+        accepted before the report. ``asked_s`` is in seconds of the boot clock.
         """
         self._confirmed_s = max(self._confirmed_s, asked_s)
 
     def is_confirmed(self, now):
-        """Whether all that was accepted until lately is part of this view."""
+        """Whether the view includes all changes that were accepted until recently."""
         return now - self._confirmed_s <= CONFIRMED_FOR_S
 
     @property
@@ -55,7 +55,10 @@
         return max(self._index_by_part.values(), default=0)
 
     def known(self):
-        """Return what a leader needs not send again, as ``Known``."""
+        """Return the log indexes of the parts received so far, as ``Known``.
+
+        A leader doesn't send these parts again.
+        """
         index_by_part = self._index_by_part
         return Known(
             index_by_part.get("configuration", -1),
@@ -68,7 +71,13 @@
 
     @functools.singledispatchmethod
     def take(self, message):
-        """Take in a part; tell whether it was newer than what was known."""
+        """Apply a message about a part; return whether it was newer than the known one.
+
+        Raises
+        ------
+        TypeError
+            If it's a message of another type.
+        """
         raise TypeError(f"no part of the view: {type(message).__name__}")
 
     @take.register
@@ -93,9 +102,9 @@
     def _(self, message: ZonesView):
         if not self._is_newer("zones", message.index):
             return False
-        # Failure: a daemon restarts while its zone is out. Symptom: counted from when
-        # it hears of that, its target goes on for longer than operators were told.
-        # Enough: what was out before it heard anything counts as out for long.
+        # If a daemon restarts while its zone is out and counts from when it's notified,
+        # its target runs for longer than operators were told. So zones that are out in
+        # the first message count as out for an unlimited time already.
         now = boot_s() if self._has_heard_zones else float("-inf")
         self._has_heard_zones = True
         self.zones_out = frozenset(message.zones_out)
@@ -127,9 +136,8 @@
         return self._wake()
 
     def _is_newer(self, part, index):
-        # Failure: a leader that was deposed still has something on its way. Symptom:
-        # a daemon goes back to an older configuration. Enough: the log's index only
-        # rises, whoever sends it.
+        # Messages of a deposed leader may still be in flight, and a daemon would return
+        # to an older configuration. The log index only increases, whoever leads.
         if index <= self._index_by_part.get(part, -1):
             return False
         self._index_by_part[part] = index
@@ -140,7 +148,7 @@
         return True
 
     async def changed(self, timeout_s):
-        """Wait for the next change, ``timeout_s`` seconds at most."""
+        """Wait for the next change, for at most ``timeout_s`` seconds."""
         await self._changed.wait(timeout_s)
 
     # Questions.
@@ -152,18 +160,21 @@
         return self.table.service_by_name.get(heartbeat.service)
 
     def zone_out_since_s(self, zone):
-        """Return when this daemon heard that a zone is out, None if it is in."""
+        """Return when this daemon was notified that a zone is out, None if it's in.
+
+        In seconds of the boot clock; minus infinity if it was out from the start.
+        """
         return self._zone_out_since_s.get(zone)
 
     def owner(self, service, key):
-        """Return the ``Target`` that owns a key, None if there is none known."""
+        """Return the ``Target`` that owns a key, None if none is known."""
         index = self._keys_by_service.get(service)
         if index is None:
             return None
         return self.target_by_life.get(index.find(key).owner)
 
     def keys_index(self, service):
-        """Return the log index of a service's owners, -1 if they are not known."""
+        """Return the log index of the owners of a service's keys, -1 if unknown."""
         return self._index_by_part.get(_keys_part(service), -1)
 
     def choices(self, service):
@@ -175,7 +186,7 @@
         ]
 
     def daemon_count(self):
-        """Return how many daemons there are, as far as known; at least 1."""
+        """Return the number of known daemons, at least 1."""
         return max(len(self.target_by_life), 1)
 
 
--- a/tamarackhaven/sidecar/process.py
+++ b/tamarackhaven/sidecar/process.py
@@ -28,9 +28,9 @@
     path : str
         Settings file, TOML.
     dialect : Dialect
-        Headers of callers and targets.
+        Reads and writes the headers of callers and targets.
     registry : callable
-        ``registry(daemon)`` gives the handler of heartbeats.
+        ``registry(daemon)`` returns the HTTP handler of the target's heartbeats.
     """
     return run_process(lambda: _main(path, dialect, registry))
 
--- a/tests/sidecar/test_callers.py
+++ b/tests/sidecar/test_callers.py
@@ -1,4 +1,4 @@
-"""A caller's request at its own daemon, with the rest of the fleet played."""
+"""Requests of callers at their own daemon, with fakes for the rest of the fleet."""
 
 import asyncio
 
@@ -49,7 +49,7 @@
 
 
 class Dialect:
-    """Reads nothing from the request but its time."""
+    """Fake that reads a request without headers, with a set deadline."""
 
     def __init__(self, deadline_ms):
         self.deadline_ms = deadline_ms
@@ -81,7 +81,10 @@
 
 
 def ask(view, deadline_ms, *events):
-    """Return the response to a request, and how long it took; events as (s, action)."""
+    """Return the response to a request, and how long it took in seconds.
+
+    Each event is (delay in seconds, action).
+    """
 
     async def main():
         callers = Callers(
@@ -110,8 +113,8 @@
 
 
 def test_a_request_waits_for_the_first_configuration():
-    # All daemons were killed and start again. A caller that is sent away now has no
-    # other try, while the configuration is there in some tenths of a second.
+    # All daemons were killed and start again. Refused now, a caller that doesn't retry
+    # would fail, while the configuration arrives within some tenths of a second.
     view = View()
     response, took_s = ask(view, 2000.0, (0.2, lambda: tell(view)))
     assert response.status == 200
@@ -132,8 +135,8 @@
     ],
 )
 def test_no_route_is_said_only_by_who_heard_the_leader_of_late(age_s, kind):
-    # Guards against: a caller is told for good that a new route isn't there, by a
-    # daemon whose link to the leader is full.
+    # A daemon whose link to the leader is congested doesn't have a new route yet. It
+    # must not refuse callers with an error after which they don't retry.
     view = View()
     view.take(ConfigurationView(1, Configuration(1, (ServiceSpec("s"),), ())))
     view.confirm(boot_s() - age_s)
--- a/tests/sidecar/test_control_link.py
+++ b/tests/sidecar/test_control_link.py
@@ -1,4 +1,4 @@
-"""When a daemon gives its session with the leading control VM up."""
+"""When a daemon counts its session with the leading control VM as lost."""
 
 import pytest
 
@@ -10,13 +10,13 @@
 
 
 class Link:
-    """A link on which something was heard at a time."""
+    """Fake link that last received data at a given time."""
 
     def __init__(self, heard_at_s):
         self.heard_at_s = heard_at_s
 
     def send(self, message):
-        """Take a report."""
+        """Discard a report."""
 
 
 @pytest.fixture
@@ -33,14 +33,15 @@
 
 
 def test_a_leader_whose_answer_stands_behind_news_is_kept(control):
-    # A change of hundreds of routes is on its way on a small link, the answer to the
-    # report behind it. Given up, the daemon would ask for the same news once more.
+    # An update of hundreds of routes is in flight on a small link, followed by the
+    # answer to the report. If the session were closed, the same update would be sent
+    # again.
     link = Link(heard_at_s=101.4)
     assert not control._is_lost(link, 90.0, 101.5)
 
 
 def test_a_leader_that_sends_news_but_no_answer_is_given_up(control):
-    # It is cut off from its quorum: it can't confirm a lease, but passes on what other
-    # daemons tell it.
+    # A leader that is cut off from its quorum can't confirm a lease, but it still
+    # sends updates that follow from the reports of other daemons.
     late = 100.0 + UNANSWERED_BUSY_S + 0.01
     assert control._is_lost(Link(heard_at_s=late), 90.0, late)
--- a/tests/sidecar/test_control_link_search.py
+++ b/tests/sidecar/test_control_link_search.py
@@ -1,4 +1,4 @@
-"""How a daemon looks for the leader, over real links on loopback."""
+"""How a daemon searches for the leader, over real links on loopback."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 class ControlVm:
-    """A control VM that says it leads, and answers each report."""
+    """Fake control VM that claims to lead, and answers each report."""
 
     def __init__(self, host):
         self.host = host
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """Two control VMs that both say they lead, and one daemon's link."""
+    """Two control VMs that both claim to lead, and one daemon's ``ControlLink``."""
 
     async def __aenter__(self):
         self.vms = [ControlVm(host) for host in HOSTS]
@@ -95,7 +95,8 @@
 
 
 def test_a_spare_link_to_a_second_leader_does_not_make_reports_follow_without_a_pause():
-    # Guards against: a daemon that fills its own processor and drowns the leader.
+    # Otherwise reports follow each other without a pause: the daemon uses a whole
+    # processor and overloads the leader.
     async def test(fleet):
         await asyncio.sleep(LOOKS_ON_S)
         assert len([vm for vm in fleet.vms if vm.links]) == 2
@@ -105,7 +106,8 @@
 
 
 def test_news_of_a_second_leader_are_not_taken_as_the_leaders():
-    # Guards against: what a deposed leader sent at once counts as the present one's.
+    # What a deposed leader sends right after its hint must not count as an update of
+    # the present leader.
     async def test(fleet):
         await asyncio.sleep(LOOKS_ON_S)
         (in_use,) = [vm for vm in fleet.vms if vm.reports]
@@ -133,7 +135,7 @@
 
 
 class SlowFleet(Fleet):
-    """One control VM, and a link to it that takes as long as it is told."""
+    """One control VM, and a link to it with a configurable delay."""
 
     async def __aenter__(self):
         self.vms = [ControlVm(BEHIND)]
@@ -163,8 +165,8 @@
 
 
 def test_a_leader_is_found_over_a_link_that_is_full():
-    # Guards against: a daemon that goes by an old configuration for as long as an
-    # answer takes longer than it waits for one.
+    # If each query timed out before its answer, the daemon would use an old
+    # configuration for as long as the link is congested.
     async def test(fleet):
         fleet.proxy.delay_s = DELAY_S
         await until(lambda: fleet.taken)
@@ -173,8 +175,8 @@
 
 
 def test_a_session_whose_link_fills_up_goes_on_with_what_was_on_its_way():
-    # Guards against: a configuration that is lost with the link that was bringing it,
-    # and a search that can't end while the link is full.
+    # If the link were closed, a configuration in flight would be lost with it, and the
+    # search couldn't end while links are congested.
     async def test(fleet):
         (vm,) = fleet.vms
         await until(lambda: vm.reports)
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -1,4 +1,4 @@
-"""Requests with large bodies to a target whose VM has a small link."""
+"""Requests with large bodies to a target whose VM has a narrow link."""
 
 import asyncio
 
@@ -19,17 +19,17 @@
 
 LINK_BYTES_PER_S = 412_500
 BODY_BYTES = 60_000
-# Within this time a short call must be at its target, of the 0.2 s that it has.
+# A short call must reach its target within this time, which is all of its 0.2 s.
 CALL_OBJECTIVE_S = 0.2
 OBJECTIVE_S = 1.2
 DEADLINE_S = 3.0
-# A caller that is sent away early can go elsewhere, or come back in time.
+# A caller that is refused this early can still use another target, or retry in time.
 REFUSED_WITHIN_S = 0.4
 
 
 @attrs.define
 class State:
-    """A target that takes everything."""
+    """Fake state of a target that accepts all requests."""
 
     life: str = FORWARD.life
     heartbeat: object = None
@@ -59,7 +59,7 @@
 
 
 class TargetStandIn:
-    """Answers at once; keeps the sizes of the bodies that came."""
+    """Fake target that answers at once and records the sizes of received bodies."""
 
     def __init__(self):
         self.body_bytes = []
@@ -73,7 +73,7 @@
 
 
 class NarrowVM:
-    """A daemon and its target behind a narrow link, and the daemons that call it."""
+    """A daemon and its target behind a narrow link, and daemons that forward to it."""
 
     async def start(self):
         self.link = NarrowLink(LINK_BYTES_PER_S)
@@ -97,7 +97,7 @@
         return self._peers[-1]
 
     async def send(self, peers, number, body=b"", objective_s=OBJECTIVE_S):
-        """Return the end of a request, and after how many seconds it came."""
+        """Return the result of a request, and how long it took in seconds."""
         forward = attrs.evolve(FORWARD, number=number, body=body, is_safe=not body)
         now = boot_s()
         end = await peers.run(
@@ -124,7 +124,7 @@
 
 
 async def upload(vm, count):
-    """Send one body from each of ``count`` daemons; return ends and seconds."""
+    """Send one body from each of ``count`` daemons; return (result, seconds) pairs."""
     body = bytes(BODY_BYTES)
     callers = [vm.caller() for _ in range(count)]
     for caller in callers:
@@ -133,8 +133,8 @@
 
 
 def test_a_short_call_does_not_wait_behind_the_bodies_of_many_daemons():
-    # Guards against: uploads fill a VM's link, and calls of work that runs elsewhere
-    # stand behind them until that work is too late.
+    # If uploads filled a VM's link, calls that belong to work on other VMs would queue
+    # behind them until that work misses its deadline.
     async def test(vm):
         caller = vm.caller()
         await vm.send(caller, 0)
@@ -152,8 +152,8 @@
 
 
 def test_a_body_that_can_not_arrive_in_time_is_refused_before_it_crosses():
-    # Guards against: more bodies than a link carries all cross it, each later than the
-    # one before, so that all are late and none is told to come back.
+    # If more bodies than a link can carry were all sent, each would arrive later than
+    # the one before; all would be late, and none would be refused with a retry time.
     async def test(vm):
         return await upload(vm, 40), vm.target.body_bytes, vm.link.carried_bytes
 
@@ -165,5 +165,5 @@
     assert max(refused_s) < REFUSED_WITHIN_S
     assert all(end.retry_after_s > 0 for end, _ in ends if isinstance(end, NotRun))
     assert target_bytes.count(BODY_BYTES) == len(answered_s)
-    # Beside the bodies that ran, announcements and short calls.
+    # Besides the bodies of answered requests, there are announcements and short calls.
     assert carried_bytes < (len(answered_s) + 1) * BODY_BYTES
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -41,7 +41,7 @@
 
 
 class Target:
-    """Stands in for the way to the target; counts runs."""
+    """Fake of ``Inbound`` that records the requests that it runs."""
 
     def __init__(self):
         self.intake = Intake(Gate(6, lambda: 0.0), Metrics())
@@ -73,7 +73,7 @@
 
 
 class Pair:
-    """A daemon that forwards, and the one beside the target."""
+    """A daemon that forwards requests, and the daemon beside the target."""
 
     async def start(self, boot="one"):
         self.target = Target()
@@ -130,8 +130,8 @@
 @pytest.mark.parametrize("is_safe", [True, False])
 def test_a_broken_link_neither_loses_nor_doubles_a_request(is_safe):
     # The link between two daemons breaks while the target works. The caller's daemon
-    # dials again and asks for the same number; a second run would double a booking,
-    # giving up would lose its answer.
+    # reconnects and sends the same number again. A second run would double a booking;
+    # failing the request would lose its answer.
     async def test(pair):
         waiting = pair.forward(is_safe=is_safe)
         await pair.until(lambda: pair.target.ran)
@@ -148,8 +148,8 @@
 
 
 def test_a_large_body_comes_whole_and_only_as_it_is_asked_for():
-    # Guards against: a body fills the small link of a VM for seconds, and short calls
-    # on any link wait behind it until the work that they belong to is too late.
+    # A body sent at once would fill the small link of a VM for seconds, and short calls
+    # would queue behind it until the work that they belong to misses its deadline.
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
@@ -166,8 +166,8 @@
 
 
 def test_a_body_whose_link_breaks_halfway_comes_whole_and_once():
-    # Guards against: parts that were on their way are lost with the link, and the rest
-    # is put together with a hole, or the request runs twice.
+    # The parts in flight are lost with the link. The body must not be assembled with a
+    # gap, and the request must not run twice.
     async def test(pair):
         pair.target.may_end.set()
         waiting = pair.forward(is_safe=False, body=LARGE_BODY)
@@ -191,8 +191,8 @@
 
 @pytest.mark.parametrize("body", [LARGE_BODY, b""])
 def test_what_never_left_whole_has_not_run(body):
-    # Guards against: a daemon is lost before it has asked for a booking's body, and the
-    # caller hears that the booking may have run, so that it can't try again.
+    # A daemon is lost before it has requested a booking's body. If the result were that
+    # the booking may have run, the caller couldn't retry it.
     async def test(pair):
         pair.target.asks_for_bodies = False
         waiting = pair.forward(is_safe=False, body=body)
@@ -282,8 +282,8 @@
 
 
 def test_a_daemon_that_left_and_came_back_is_asked_again():
-    # Daemons are restarted one after the other. Each tells the others that it leaves;
-    # had they kept that in mind, no target would be left once all had been restarted.
+    # In a rolling restart each daemon announces to the others that it leaves. If they
+    # kept the mark, no target would be left once all daemons had been restarted.
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
@@ -296,8 +296,8 @@
 
 
 def test_a_daemon_that_stopped_in_order_counts_as_restarting_until_it_is_back():
-    # Callers for its target's keys wait a little longer for it than for one that is
-    # lost: it is back within a second or so.
+    # Callers for its target's keys wait longer for it than for a lost daemon, since
+    # it's back within about a second.
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
@@ -327,8 +327,8 @@
 
 
 def test_two_questions_at_once_get_their_own_answers():
-    # Two lives of a target at one place are both known for a moment, and both are asked
-    # on the same link at the same time.
+    # Two lives of a target at one address are both known for a moment, and both are
+    # queried on the same link at the same time.
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
@@ -353,8 +353,8 @@
 def test_a_request_that_was_given_up_with_its_link_is_answered_when_asked_again(
     is_safe,
 ):
-    # Guards against: a link is away for longer than its requests are kept; asked again
-    # on a new one, they get no answer, and their callers are held to the end.
+    # A link is down for longer than its requests are kept. If they got no result when
+    # they are sent again on a new link, their callers would wait until their deadline.
     async def test(pair):
         pair.target.is_sent = False
         waiting = pair.forward(is_safe=is_safe)
@@ -375,8 +375,8 @@
 
 
 def test_a_daemon_that_dies_gives_its_place_on_the_link_back_within_a_second():
-    # Guards against: bytes that will never come count as on their way, and the bodies
-    # of living daemons wait for them.
+    # If bytes that will never arrive still counted as in flight, the bodies of running
+    # daemons would wait for them.
     async def test(pair):
         asked = asyncio.Event()
         pair.target.is_sent = False
--- a/tests/sidecar/test_slow_log.py
+++ b/tests/sidecar/test_slow_log.py
@@ -1,4 +1,4 @@
-"""Keys told in answers to heartbeats, with late commits and changing leaders."""
+"""Keys granted in replies to heartbeats, with late commits and changing leaders."""
 
 import pytest
 
--- a/tests/sidecar/test_target_state.py
+++ b/tests/sidecar/test_target_state.py
@@ -1,4 +1,4 @@
-"""What the daemon believes of its target, and what it tells it to hold."""
+"""A daemon's state of its target, and the keys that it grants to the target."""
 
 import attrs
 import pytest
@@ -52,8 +52,9 @@
 
 
 def test_a_hold_ends_before_the_lease_even_by_the_slowest_clock(state):
-    # The control group gives the keys on when the lease is over. A target whose clock
-    # runs slow holds longer than it was told; both would run requests for them.
+    # The control group reassigns the keys when the lease expires. A target whose clock
+    # is slow holds them for longer than it was told; if that were longer than the
+    # lease, both targets would run requests for them.
     state.take_grant(grant(state), asked_s=10.0)
     reply = state.take(beat(2), 11.5)
     assert 11.5 + reply.hold_s / SLOWEST_CLOCK < 14.0
@@ -66,8 +67,8 @@
 
 
 def test_an_older_grant_never_replaces_a_newer_one(state):
-    # A deposed leader's grant was held up on its way. Taken, it would give back keys
-    # that the target has released since.
+    # A deposed leader's grant was delayed. If it were applied, it would grant keys
+    # again that the target has released since.
     state.take_grant(grant(state, 5, ranges=(), term=2), asked_s=10.0)
     state.take_grant(grant(state, 9, term=1), asked_s=10.0)
     assert state.take(beat(2), 11.0).ranges == ()
@@ -129,11 +130,11 @@
 
 
 def test_a_restarted_daemon_knows_no_lease_until_it_has_asked(state):
-    # The daemon restarts while its target goes on. What the target says that it
-    # holds is no proof that it still may.
+    # The daemon restarts while its target continues to run. The holds that the target
+    # reports don't prove that it may still hold them.
     restarted = TargetState(SETTINGS, "10.0.0.1", 7000)
     assert restarted.take(beat(7, holds=(Hold(0, 99, 7),)), 20.0).ranges is None
-    # It may send it requests all the same: the target refuses what it doesn't hold.
+    # The daemon may still send it requests: it refuses those for keys it doesn't hold.
     assert restarted.holds(5, 20.1)
     assert not restarted.holds(500, 20.1)
     assert not restarted.holds(5, 22.0)
