--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -25,38 +25,40 @@
 ANSWER_MARGIN_S = 0.015
 # A daemon without a configuration, or without a target of a service, usually receives
 # one within this time. It's also the retry time that refused callers are given.
-UNKNOWN_RETRY_S = 0.3
+UNKNOWN_STATE_RETRY_S = 0.3
 # Keys whose owner is lost have no owner until its lease expires, and callers would wait
 # for an answer that can't come. They wait for this fraction of the time left: a move of
 # keys takes about a heartbeat, which fits; replacing a lost VM doesn't.
-OWNER_PATIENCE = 0.5
+OWNER_WAIT_FRACTION = 0.5
 OWNER_RETRY_S = 0.5
 # In a rolling restart each daemon is away for about a second. Callers for its target's
 # keys would time out just before it is back, and their retries would come too late. An
 # announced restart is over soon, so they wait for this larger fraction of the time
 # left.
-RESTART_PATIENCE = 0.7
+RESTART_WAIT_FRACTION = 0.7
 # A request that was refused because its key is moving is sent again after this time, or
 # when the view changes.
-OWNER_POLL_S = 0.1
+OWNER_POLL_INTERVAL_S = 0.1
 # A request is retried only if this fraction of its objective is left until its
 # deadline: less than half of all requests are answered in a shorter time.
-REPEAT_LEFT_PART = 0.3
+MIN_RETRY_TIME_FRACTION = 0.3
 # A request to a shared service is refused after this many targets have refused it.
-MOST_REFUSALS = 3
+MAX_REFUSALS = 3
 # Kinds of refusals after which another target may have capacity for the request.
-_FULL = frozenset({ErrorKind.QUEUE_FULL.name, ErrorKind.TARGET_COLD.name})
+_NO_CAPACITY_KINDS = frozenset({ErrorKind.QUEUE_FULL.name, ErrorKind.TARGET_COLD.name})
 # Kinds of refusals that mean that the target or its daemon is unreachable for now.
-_AWAY = frozenset({ErrorKind.OWNER_UNREACHABLE.name, ErrorKind.TARGET_UNREACHABLE.name})
+_UNREACHABLE_KINDS = frozenset(
+    {ErrorKind.OWNER_UNREACHABLE.name, ErrorKind.TARGET_UNREACHABLE.name}
+)
 # Kinds that are internal to the fleet, each with the kind that callers get instead.
-_KIND_FOR_CALLERS = {
+_CALLER_KIND_BY_KIND = {
     ErrorKind.NOT_OWNER: ErrorKind.MOVING,
     ErrorKind.DEADLINE_PAST: ErrorKind.QUEUE_TIMEOUT,
 }
 
 
 @attrs.define
-class _Asked:
+class _PendingRequest:
     """A caller's request that hasn't been answered yet.
 
     Parameters
@@ -126,7 +128,7 @@
             settings.zone, random.random, lambda life: life == state.life
         )
         self._budget_by_service = {}
-        self._numbers = itertools.count(1)
+        self._forward_numbers = itertools.count(1)
         self.is_closing = False
 
     async def handle(self, request):
@@ -135,13 +137,13 @@
         service = ""
         route = ""
         try:
-            asked = await self._read(request)
-            attempt_id = asked.request.attempt_id
-            service = asked.spec.name
-            route = asked.route.name
-            answer = await self._serve(asked)
+            pending = await self._parse(request)
+            attempt_id = pending.request.attempt_id
+            service = pending.spec.name
+            route = pending.route.name
+            answer = await self._serve(pending)
         except TamarackhavenError as error:
-            self._note_refusal(request, attempt_id, service, route, error)
+            self._record_refusal(request, attempt_id, service, route, error)
             return self._dialect.refusal(error)
         self._metrics.count("tamarackhaven_answers_total", status=answer.status)
         self._metrics.observe(
@@ -149,7 +151,7 @@
         )
         return HttpResponse(answer.status, answer.headers, answer.body)
 
-    def _note_refusal(self, request, attempt_id, service, route, error):
+    def _record_refusal(self, request, attempt_id, service, route, error):
         self._metrics.count("tamarackhaven_refusals_total", kind=error.kind.name)
         self._log.say(
             "refused",
@@ -160,15 +162,15 @@
             route=route,
             retry_after_s=round(error.retry_after_s, 3),
             after_s=round(boot_s() - request.arrived_s, 3),
-            configuration=self._version(),
+            configuration=self._configuration_version(),
             state_index=self._view.state_index,
         )
 
-    def _version(self):
+    def _configuration_version(self):
         table = self._view.table
         return table.configuration.version if table else 0
 
-    async def _read(self, request):
+    async def _parse(self, request):
         """Return the ``_PendingRequest`` for an ``HttpRequest``.
 
         Raises
@@ -177,23 +179,25 @@
             DRAINING, BAD_HEADER, STATE_STALE, UNKNOWN_SERVICE or MISSING_KEY.
         """
         if self.is_closing:
-            raise TamarackhavenError(ErrorKind.DRAINING, "", UNKNOWN_RETRY_S)
-        caller = self._dialect.read_request(request)
-        table = await self._table(request, caller)
-        route = table.find(caller.host, request.path)
+            raise TamarackhavenError(ErrorKind.DRAINING, "", UNKNOWN_STATE_RETRY_S)
+        caller_request = self._dialect.read_request(request)
+        table = await self._wait_for_table(request, caller_request)
+        route = table.find(caller_request.host, request.path)
         if route is None:
-            raise self._no_route(request.path)
+            raise self._no_route_error(request.path)
         spec = table.service_by_name[self._splitter.pick(route)]
-        if spec.sharded and caller.key is None:
+        if spec.sharded and caller_request.key is None:
             raise TamarackhavenError(ErrorKind.MISSING_KEY, spec.name)
         left_s = route.timeout_s
-        if caller.deadline_ms is not None:
-            left_s = min(left_s, caller.deadline_ms / 1000)
+        if caller_request.deadline_ms is not None:
+            left_s = min(left_s, caller_request.deadline_ms / 1000)
         deadline_s = request.arrived_s + left_s - ANSWER_MARGIN_S
         objective_s = request.arrived_s + route.objective_s
-        return _Asked(caller, route, spec, request.arrived_s, deadline_s, objective_s)
+        return _PendingRequest(
+            caller_request, route, spec, request.arrived_s, deadline_s, objective_s
+        )
 
-    def _no_route(self, path):
+    def _no_route_error(self, path):
         """Return the error for a path without a route.
 
         If a new route is accepted while this daemon's link to the leader is congested,
@@ -205,10 +209,10 @@
         return TamarackhavenError(
             ErrorKind.STATE_STALE,
             f"no route to {path}, and no word from the leader of late",
-            UNKNOWN_RETRY_S,
+            UNKNOWN_STATE_RETRY_S,
         )
 
-    async def _table(self, request, caller):
+    async def _wait_for_table(self, request, caller_request):
         """Return the ``RouteTable``; wait for the first one.
 
         When all daemons start at once, each needs some tenths of a second to receive
@@ -221,21 +225,21 @@
         TamarackhavenError
             STATE_STALE if no configuration arrives in that time.
         """
-        time_s = UNKNOWN_RETRY_S
-        if caller.deadline_ms is not None:
-            time_s = OWNER_PATIENCE * caller.deadline_ms / 1000
-        patience_s = request.arrived_s + time_s
+        wait_s = UNKNOWN_STATE_RETRY_S
+        if caller_request.deadline_ms is not None:
+            wait_s = OWNER_WAIT_FRACTION * caller_request.deadline_ms / 1000
+        wait_until_s = request.arrived_s + wait_s
         while self._view.table is None:
-            if boot_s() >= patience_s:
+            if boot_s() >= wait_until_s:
                 raise TamarackhavenError(
                     ErrorKind.STATE_STALE,
                     "no configuration is known yet",
-                    UNKNOWN_RETRY_S,
+                    UNKNOWN_STATE_RETRY_S,
                 )
-            await self._view.changed(patience_s - boot_s())
+            await self._view.changed(wait_until_s - boot_s())
         return self._view.table
 
-    async def _serve(self, asked):
+    async def _serve(self, pending):
         """Run a request at a target; return its ``Answered``.
 
         Raises
@@ -243,12 +247,12 @@
         TamarackhavenError
             The kind of the last refusal or loss.
         """
-        self._budget(asked.spec.name).request(boot_s())
-        if asked.spec.sharded:
-            return await self._serve_owned(asked)
-        return await self._serve_shared(asked)
+        self._service_budget(pending.spec.name).request(boot_s())
+        if pending.spec.sharded:
+            return await self._serve_sharded(pending)
+        return await self._serve_shared(pending)
 
-    def _budget(self, service):
+    def _service_budget(self, service):
         budget = self._budget_by_service.get(service)
         if budget is None:
             budget = RepeatBudget(self._settings.budget)
@@ -257,65 +261,71 @@
 
     # Sharded services.
 
-    async def _serve_owned(self, asked):
+    async def _serve_sharded(self, pending):
         """Run a request at the owner of its key; wait for an owner if it has none."""
         now = boot_s()
-        left_s = asked.deadline_s - now
-        patience_s = now + OWNER_PATIENCE * left_s
+        left_s = pending.deadline_s - now
+        wait_until_s = now + OWNER_WAIT_FRACTION * left_s
         kind = ErrorKind.NO_OWNER
         while True:
-            target = self._view.owner(asked.spec.name, asked.request.key)
+            target = self._view.owner(pending.spec.name, pending.request.key)
             if target is not None:
-                end = await self._forward(asked, target)
-                if isinstance(end, Answered):
-                    return end
-                kind = ErrorKind[end.kind]
-                if not isinstance(end, NotRun) or end.was_offered:
-                    if not self._may_repeat(asked, end):
-                        raise _error(end)
-                elif end.kind in _FULL:
-                    raise _error(end)
+                result = await self._forward(pending, target)
+                if isinstance(result, Answered):
+                    return result
+                kind = ErrorKind[result.kind]
+                if not isinstance(result, NotRun) or result.was_offered:
+                    if not self._may_retry(pending, result):
+                        raise _error_for(result)
+                elif result.kind in _NO_CAPACITY_KINDS:
+                    raise _error_for(result)
                 if self._peers.is_restarting((target.host, target.port)):
-                    patience_s = now + RESTART_PATIENCE * left_s
-            if boot_s() >= patience_s:
+                    wait_until_s = now + RESTART_WAIT_FRACTION * left_s
+            if boot_s() >= wait_until_s:
                 raise TamarackhavenError(
-                    _for_caller(kind), f"key {asked.request.key}", OWNER_RETRY_S
+                    _kind_for_caller(kind), f"key {pending.request.key}", OWNER_RETRY_S
                 )
-            await self._view.changed(min(OWNER_POLL_S, patience_s - boot_s()))
+            await self._view.changed(
+                min(OWNER_POLL_INTERVAL_S, wait_until_s - boot_s())
+            )
 
     # Shared services.
 
-    async def _serve_shared(self, asked):
+    async def _serve_shared(self, pending):
         """Run a request at one of the targets of a shared service."""
-        offers = Offers(self._chooser, asked.route.name, len(asked.request.body))
+        offers = Offers(self._chooser, pending.route.name, len(pending.request.body))
         refusals = 0
         failed = None
-        end = None
+        result = None
         while True:
-            send = await self._next_send(asked, offers)
+            send = await self._next_send(pending, offers)
             if send is None:
-                return _failed_or_error(failed, end)
+                return _failed_or_raise(failed, result)
             target = send.target
-            end = await self._forward(asked, target, send.waits)
-            if not send.waits and isinstance(end, NotRun) and end.kind in _FULL:
-                offers.busy(target, end.retry_after_s)
+            result = await self._forward(pending, target, send.waits)
+            if (
+                not send.waits
+                and isinstance(result, NotRun)
+                and result.kind in _NO_CAPACITY_KINDS
+            ):
+                offers.busy(target, result.retry_after_s)
                 continue
             offers.close(target)
-            if isinstance(end, Answered):
-                if end.status < 500:
-                    return end
-                failed = end
-            if not isinstance(end, NotRun) or end.was_offered:
-                if not self._may_repeat(asked, end):
-                    return _failed_or_error(failed, end)
+            if isinstance(result, Answered):
+                if result.status < 500:
+                    return result
+                failed = result
+            if not isinstance(result, NotRun) or result.was_offered:
+                if not self._may_retry(pending, result):
+                    return _failed_or_raise(failed, result)
                 continue
             refusals += 1
-            if end.kind in _FULL:
-                self._chooser.pause(target.life, end.retry_after_s, boot_s())
-            if refusals >= MOST_REFUSALS:
-                return _failed_or_error(failed, end)
+            if result.kind in _NO_CAPACITY_KINDS:
+                self._chooser.pause(target.life, result.retry_after_s, boot_s())
+            if refusals >= MAX_REFUSALS:
+                return _failed_or_raise(failed, result)
 
-    async def _next_send(self, asked, offers):
+    async def _next_send(self, pending, offers):
         """Return the next ``Send`` of a request, None if no target is left.
 
         Raises
@@ -323,186 +333,194 @@
         TamarackhavenError
             NO_OWNER if the service has no target at all.
         """
-        waits_until_s = min(boot_s() + UNKNOWN_RETRY_S, asked.deadline_s)
+        wait_until_s = min(boot_s() + UNKNOWN_STATE_RETRY_S, pending.deadline_s)
         while True:
             targets = [
                 target
-                for target in self._view.choices(asked.spec.name)
+                for target in self._view.available_targets(pending.spec.name)
                 if not self._peers.is_leaving((target.host, target.port))
             ]
             step = offers.next(targets, boot_s())
             if isinstance(step, Ask):
-                await self._ask(asked, offers, step.targets)
+                await self._query_waits(pending, offers, step.targets)
             elif step is not None or offers.has_closed:
                 return step
-            elif boot_s() > waits_until_s:
+            elif boot_s() > wait_until_s:
                 raise TamarackhavenError(
                     ErrorKind.NO_OWNER,
-                    f"no target of {asked.spec.name} takes requests",
+                    f"no target of {pending.spec.name} takes requests",
                     OWNER_RETRY_S,
                 )
             else:
-                await self._view.changed(OWNER_POLL_S)
+                await self._view.changed(OWNER_POLL_INTERVAL_S)
 
-    async def _ask(self, asked, offers, targets):
+    async def _query_waits(self, pending, offers, targets):
         """Query the expected waits at targets concurrently; skip those without one."""
-        objective_ms = (asked.objective_s - boot_s()) * 1000
+        objective_ms = (pending.objective_s - boot_s()) * 1000
         query = WaitQuery(
             0,
-            asked.route.name,
-            asked.route.priority,
+            pending.route.name,
+            pending.route.priority,
             objective_ms,
-            len(asked.request.body),
+            len(pending.request.body),
         )
         waits_s = await asyncio.gather(
-            *(self._wait_at(each, query) for each in targets)
+            *(self._expected_wait_s(each, query) for each in targets)
         )
         for target, wait_s in zip(targets, waits_s, strict=True):
             if wait_s is not None:
                 offers.busy(target, wait_s)
 
-    async def _wait_at(self, target, query):
+    async def _expected_wait_s(self, target, query):
         if target.life == self._state.life:
             return self._runs.expected_wait_s(attrs.evolve(query, body_bytes=0))
-        return await self._peers.ask((target.host, target.port), query)
+        return await self._peers.query_wait((target.host, target.port), query)
 
-    def _may_repeat(self, asked, end):
+    def _may_retry(self, pending, result):
         """Whether a request that a target has received may be sent again.
 
         When many requests fail at once, their retries add to the load that made them
         fail. Retries are limited by the route's ``max_attempts``, by a budget that is
         shared out among the daemons, and by the time left for an answer.
         """
-        if not asked.is_safe and not isinstance(end, NotRun):
+        if not pending.is_safe and not isinstance(result, NotRun):
             return False
-        if asked.sends >= asked.route.max_attempts:
+        if pending.sends >= pending.route.max_attempts:
             return False
         # A retry that can't be answered in time would only add load.
-        least_s = REPEAT_LEFT_PART * asked.route.objective_s
-        if boot_s() + least_s >= asked.deadline_s:
+        min_left_s = MIN_RETRY_TIME_FRACTION * pending.route.objective_s
+        if boot_s() + min_left_s >= pending.deadline_s:
             return False
-        allowed = self._budget(asked.spec.name).take(
+        is_allowed = self._service_budget(pending.spec.name).take(
             self._view.daemon_count(), boot_s()
         )
-        reason = getattr(end, "kind", "STATUS")
+        reason = getattr(result, "kind", "STATUS")
         self._metrics.count(
             "tamarackhaven_retries_total"
-            if allowed
+            if is_allowed
             else "tamarackhaven_retries_refused_total",
             reason=reason,
         )
         self._log.say(
-            "sent again" if allowed else "not sent again: budget",
-            request_id=asked.request.attempt_id,
+            "sent again" if is_allowed else "not sent again: budget",
+            request_id=pending.request.attempt_id,
             reason=reason,
-            sends=asked.sends,
+            sends=pending.sends,
         )
-        return allowed
+        return is_allowed
 
     # A single attempt.
 
-    async def _forward(self, asked, target, waits=True):
+    async def _forward(self, pending, target, waits=True):
         """Send the request to ``target``.
 
         Return its ``Answered``, ``NotRun`` or ``Lost``.
         """
         now = boot_s()
-        if now >= asked.deadline_s:
+        if now >= pending.deadline_s:
             return NotRun(0, ErrorKind.QUEUE_TIMEOUT.name, OWNER_RETRY_S)
-        forward = self._make_forward(asked, target, now, waits)
+        forward = self._build_forward(pending, target, now, waits)
         self._chooser.sent(target.life)
-        end = None
+        result = None
         try:
             if target.life == self._state.life:
-                end = await self._runs.run(("", forward.number), forward)
+                result = await self._runs.run(("", forward.number), forward)
             else:
-                end = await self._at_peer(asked, target, forward)
+                result = await self._forward_to_peer(pending, target, forward)
         finally:
-            self._note_end(asked, target, end)
-        return end
+            self._record_result(pending, target, result)
+        return result
 
-    async def _at_peer(self, asked, target, forward):
+    async def _forward_to_peer(self, pending, target, forward):
         address = target.host, target.port
-        asked.unsent_bytes = self._peers.unsent_bytes()
+        pending.unsent_bytes = self._peers.unsent_bytes()
         return await self._peers.run(
-            address, forward, asked.deadline_s, asked.objective_s
+            address, forward, pending.deadline_s, pending.objective_s
         )
 
-    def _make_forward(self, asked, target, now, waits):
-        request = asked.request
+    def _build_forward(self, pending, target, now, waits):
+        request = pending.request
         return Forward(
-            number=next(self._numbers),
+            number=next(self._forward_numbers),
             life=target.life,
-            service=asked.spec.name,
-            route=asked.route.name,
-            key=request.key if asked.spec.sharded else -1,
+            service=pending.spec.name,
+            route=pending.route.name,
+            key=request.key if pending.spec.sharded else -1,
             attempt_id=request.attempt_id,
             method=request.method,
             target=request.target,
             headers=request.headers,
             body=request.body,
             caller_service=self._settings.service,
-            is_safe=asked.is_safe,
-            priority=asked.route.priority,
-            left_ms=(asked.deadline_s - now) * 1000,
-            objective_ms=(asked.objective_s - now) * 1000,
+            is_safe=pending.is_safe,
+            priority=pending.route.priority,
+            left_ms=(pending.deadline_s - now) * 1000,
+            objective_ms=(pending.objective_s - now) * 1000,
             waits=waits,
         )
 
-    def _note_end(self, asked, target, end):
+    def _record_result(self, pending, target, result):
         """Record the result of an attempt, None if the caller disconnected."""
         now = boot_s()
-        if end is None:
-            self._chooser.ended(target.life, asked.route.name, None, None, now)
+        if result is None:
+            self._chooser.ended(target.life, pending.route.name, None, None, now)
             return
-        is_away = end.kind in _AWAY if isinstance(end, NotRun) else False
-        if isinstance(end, Answered) or not isinstance(end, NotRun) or end.was_offered:
-            asked.sends += 1
+        is_unreachable = (
+            result.kind in _UNREACHABLE_KINDS if isinstance(result, NotRun) else False
+        )
+        if (
+            isinstance(result, Answered)
+            or not isinstance(result, NotRun)
+            or result.was_offered
+        ):
+            pending.sends += 1
         # A result that this daemon created itself, for example after a broken link,
         # doesn't include the target's load.
-        load = end.load if end.load != GateLoad() else None
-        self._chooser.ended(target.life, asked.route.name, load, has_failed(end), now)
-        if is_away:
+        load = result.load if result.load != GateLoad() else None
+        self._chooser.ended(
+            target.life, pending.route.name, load, has_failed(result), now
+        )
+        if is_unreachable:
             self._chooser.unreachable(target.life, now)
-        after_s = now - asked.arrived_s
-        waited_s = getattr(end, "waited_ms", 0.0) / 1000
-        worked_s = getattr(end, "worked_ms", 0.0) / 1000
+        after_s = now - pending.arrived_s
+        waited_s = getattr(result, "waited_ms", 0.0) / 1000
+        worked_s = getattr(result, "worked_ms", 0.0) / 1000
         self._log.say(
             "ended",
-            request_id=asked.request.attempt_id,
-            route=asked.route.name,
+            request_id=pending.request.attempt_id,
+            route=pending.route.name,
             life=target.life,
-            end=type(end).__name__,
-            kind=getattr(end, "kind", str(getattr(end, "status", ""))),
+            end=type(result).__name__,
+            kind=getattr(result, "kind", str(getattr(result, "status", ""))),
             after_s=round(after_s, 3),
-            objective_s=asked.route.objective_s,
+            objective_s=pending.route.objective_s,
             waited_s=round(waited_s, 3),
             worked_s=round(worked_s, 3),
-            brought_s=round(getattr(end, "brought_ms", 0.0) / 1000, 3),
+            brought_s=round(getattr(result, "brought_ms", 0.0) / 1000, 3),
             between_s=round(after_s - waited_s - worked_s, 3),
-            body_bytes=len(asked.request.body),
-            unsent_bytes=asked.unsent_bytes,
-            arriving_bytes=end.load.arriving_bytes,
-            load=[end.load.running, end.load.waiting, end.load.slots],
+            body_bytes=len(pending.request.body),
+            unsent_bytes=pending.unsent_bytes,
+            arriving_bytes=result.load.arriving_bytes,
+            load=[result.load.running, result.load.waiting, result.load.slots],
         )
 
 
-def _error(end):
+def _error_for(result):
     """Return the error for the caller of a request that wasn't answered."""
     return TamarackhavenError(
-        _for_caller(ErrorKind[end.kind]),
+        _kind_for_caller(ErrorKind[result.kind]),
         "",
-        getattr(end, "retry_after_s", 0.0) or OWNER_RETRY_S,
+        getattr(result, "retry_after_s", 0.0) or OWNER_RETRY_S,
     )
 
 
-def _failed_or_error(failed, end):
+def _failed_or_raise(failed, result):
     """Return the target's error answer to an earlier attempt, else raise an error."""
     if failed is None:
-        raise _error(end)
+        raise _error_for(result)
     return failed
 
 
-def _for_caller(kind):
+def _kind_for_caller(kind):
     """Return the kind to put into the answer to a caller."""
-    return _KIND_FOR_CALLERS.get(kind, kind)
+    return _CALLER_KIND_BY_KIND.get(kind, kind)
--- a/tamarackhaven/sidecar/_control_link.py
+++ b/tamarackhaven/sidecar/_control_link.py
@@ -19,21 +19,21 @@
 
 # The lease is renewed several times before it expires, and a leader is notified of a
 # change within this time even if a message is lost.
-REPORT_S = 0.4
+REPORT_INTERVAL_S = 0.4
 # A leader answers a report within some milliseconds. If it doesn't within this time, it
 # has lost its quorum, or the link is dead.
-UNANSWERED_S = 1.0
+REPORT_TIMEOUT_S = 1.0
 # An update of hundreds of routes on a small link delays the answers behind it. A
 # session that was closed because of this would start again with the same update. So a
 # link that still delivers data is kept for this long, which is less than a lease.
-UNANSWERED_BUSY_S = 2.5
+BUSY_REPORT_TIMEOUT_S = 2.5
 # All control VMs are queried again after the maximum, or after the minimum if all of
 # them have answered by then.
-ROUND_S = 0.7
-SEARCH_PAUSE_S = 0.1
+MAX_SEARCH_ROUND_S = 0.7
+MIN_SEARCH_ROUND_S = 0.1
 # A congested link delays a query and its answer by seconds.
-ASK_TIMEOUT_S = 4.0
-REPORTS_REMEMBERED = 16
+HELLO_TIMEOUT_S = 4.0
+MAX_REMEMBERED_REPORTS = 16
 
 
 class ControlLink:
@@ -60,23 +60,23 @@
     def __init__(self, make_hello, make_report, take, take_grant, seeds, log):
         self._make_hello = make_hello
         self._make_report = make_report
-        self._take = take
-        self._take_grant = take_grant
+        self._on_view_message = take
+        self._on_grant = take_grant
         self._seeds = seeds
         self._log = log
-        self._known = HeardAddresses()
-        self._number = 0
+        self._known_addresses = HeardAddresses()
+        self._last_number = 0
         self._asked_s_by_number = collections.OrderedDict()
-        self._answered = 0
-        self._urgent = asyncio.Event()
-        self._closed = asyncio.Event()
-        self._revived = asyncio.Event()
+        self._last_answered_number = 0
+        self._report_due = asyncio.Event()
+        self._link_closed = asyncio.Event()
+        self._answer_received = asyncio.Event()
         self._session = None
         self.confirmed_s = float("-inf")
 
-    def kick(self):
+    def report_now(self):
         """Send a report without waiting for the interval."""
-        self._urgent.set()
+        self._report_due.set()
 
     async def run(self):
         """Keep a session with the leader until cancelled."""
@@ -85,7 +85,7 @@
                 session = await self._find_leader()
                 is_former = session is self._session
                 self._log.say("leader answers again" if is_former else "leader found")
-                await self._keep(session)
+                await self._run_session(session)
                 self._log.say(
                     "leader lost", silent_s=round(boot_s() - self.confirmed_s, 3)
                 )
@@ -107,61 +107,65 @@
         that the most congested links need; after the loss of a leader, a new one is
         still looked for several times a second.
         """
-        asking = set()
+        queries = set()
         found = None
         try:
             while found is None:
-                addresses = dict.fromkeys([*self._known, *self._seeds()])
-                newest = {asyncio.create_task(self._ask(each)) for each in addresses}
-                asking |= newest
-                found = await self._first_answer(asking, newest)
+                addresses = dict.fromkeys([*self._known_addresses, *self._seeds()])
+                round_queries = {
+                    asyncio.create_task(self._query(each)) for each in addresses
+                }
+                queries |= round_queries
+                found = await self._first_session(queries, round_queries)
         finally:
-            await _give_up(asking)
+            await _cancel_queries(queries)
         return found
 
-    async def _first_answer(self, asking, newest):
+    async def _first_session(self, queries, round_queries):
         """Return the first session with a leader in this round, else None."""
-        revived = asyncio.create_task(self._revived.wait())
-        next_s = boot_s() + SEARCH_PAUSE_S
-        ends_s = boot_s() + ROUND_S
+        answer_task = asyncio.create_task(self._answer_received.wait())
+        early_end_s = boot_s() + MIN_SEARCH_ROUND_S
+        round_end_s = boot_s() + MAX_SEARCH_ROUND_S
         try:
-            while (left_s := (ends_s if newest else next_s) - boot_s()) > 0:
+            while (
+                left_s := (round_end_s if round_queries else early_end_s) - boot_s()
+            ) > 0:
                 done, _ = await asyncio.wait(
-                    {*asking, revived},
+                    {*queries, answer_task},
                     timeout=left_s,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                if revived in done:
+                if answer_task in done:
                     return self._session
-                asking -= done
-                newest -= done
+                queries -= done
+                round_queries -= done
                 found = [task.result() for task in done if task.result() is not None]
-                for spare in found[1:]:
-                    spare.link.abort()
+                for extra in found[1:]:
+                    extra.link.abort()
                 if found:
                     return found[0]
         finally:
-            revived.cancel()
+            answer_task.cancel()
         return None
 
-    async def _ask(self, address):
+    async def _query(self, address):
         """Return a session with the control VM at an address if it leads, else None."""
         hints = asyncio.Queue()
         session = _Session(self, hints)
-        ends_s = boot_s() + ASK_TIMEOUT_S
+        deadline_s = boot_s() + HELLO_TIMEOUT_S
         try:
             link = session.link = await dial(
                 address,
                 CONTROL_CODEC,
                 session.on_message,
                 session.on_closed,
-                ASK_TIMEOUT_S,
+                HELLO_TIMEOUT_S,
             )
         except OSError:
             return None
         try:
             link.send(self._make_hello())
-            hint = await asyncio.wait_for(hints.get(), max(ends_s - boot_s(), 0.0))
+            hint = await asyncio.wait_for(hints.get(), max(deadline_s - boot_s(), 0.0))
         except TimeoutError:
             link.abort()
             return None
@@ -170,7 +174,7 @@
             raise
         if hint is None:
             return None
-        self._known.add(hint.control)
+        self._known_addresses.add(hint.control)
         if hint.is_leader:
             return session
         link.abort()
@@ -178,39 +182,39 @@
 
     # Session.
 
-    async def _keep(self, session):
+    async def _run_session(self, session):
         """Send reports until the leader stops answering or the link is closed."""
-        self._begin(session)
+        self._switch_to(session)
         link = session.link
         started_s = boot_s()
-        self._revived.clear()
+        self._answer_received.clear()
         while link.is_open:
             now = boot_s()
             if self._is_lost(link, started_s, now):
                 break
-            self._report(link, now)
-            self._urgent.clear()
-            waits = [
-                asyncio.create_task(self._urgent.wait()),
-                asyncio.create_task(self._closed.wait()),
+            self._send_report(link, now)
+            self._report_due.clear()
+            wakeups = [
+                asyncio.create_task(self._report_due.wait()),
+                asyncio.create_task(self._link_closed.wait()),
             ]
             await asyncio.wait(
-                waits, timeout=REPORT_S, return_when=asyncio.FIRST_COMPLETED
+                wakeups, timeout=REPORT_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
             )
-            for wait in waits:
-                wait.cancel()
-        self._revived.clear()
+            for wakeup in wakeups:
+                wakeup.cancel()
+        self._answer_received.clear()
 
-    def _begin(self, session):
+    def _switch_to(self, session):
         """Replace the former session, unless ``session`` is that one."""
         if session is self._session:
             return
         if self._session is not None:
             self._session.link.abort()
         self._session = session
-        self._closed.clear()
+        self._link_closed.clear()
         self._asked_s_by_number.clear()
-        self._answered = self._number
+        self._last_answered_number = self._last_number
         session.begin()
 
     def _is_lost(self, link, started_s, now):
@@ -219,22 +223,22 @@
         Times are in seconds of the boot clock.
         """
         asked_s = max(self._oldest_unanswered_s(now), started_s)
-        if now - asked_s > UNANSWERED_BUSY_S:
+        if now - asked_s > BUSY_REPORT_TIMEOUT_S:
             return True
-        return now - max(asked_s, link.heard_at_s) > UNANSWERED_S
+        return now - max(asked_s, link.heard_at_s) > REPORT_TIMEOUT_S
 
     def _oldest_unanswered_s(self, now):
         for number, asked_s in self._asked_s_by_number.items():
-            if number > self._answered:
+            if number > self._last_answered_number:
                 return asked_s
         return now
 
-    def _report(self, link, now):
-        self._number += 1
-        self._asked_s_by_number[self._number] = now
-        while len(self._asked_s_by_number) > REPORTS_REMEMBERED:
+    def _send_report(self, link, now):
+        self._last_number += 1
+        self._asked_s_by_number[self._last_number] = now
+        while len(self._asked_s_by_number) > MAX_REMEMBERED_REPORTS:
             self._asked_s_by_number.popitem(last=False)
-        link.send(self._make_report(self._number))
+        link.send(self._make_report(self._last_number))
 
     def on_session_message(self, session, message):
         """Handle a message of the leader."""
@@ -242,25 +246,25 @@
             return
         if isinstance(message, LeaseGrant):
             asked_s = self._asked_s_by_number.get(message.number)
-            self._answered = max(self._answered, message.number)
+            self._last_answered_number = max(self._last_answered_number, message.number)
             if asked_s is not None:
                 self.confirmed_s = boot_s()
-                self._take_grant(message, asked_s)
-            self._revived.set()
+                self._on_grant(message, asked_s)
+            self._answer_received.set()
         elif not isinstance(message, LeaderHint | Report):
-            self._take(message)
+            self._on_view_message(message)
 
     def on_session_closed(self, session):
         """Wake the loop that sends reports, since the link of its session is closed."""
         if session is self._session:
-            self._closed.set()
+            self._link_closed.set()
 
 
-async def _give_up(asking):
+async def _cancel_queries(queries):
     """Cancel queries; abort the links of those that have just found a leader."""
-    for task in asking:
+    for task in queries:
         task.cancel()
-    for result in await asyncio.gather(*asking, return_exceptions=True):
+    for result in await asyncio.gather(*queries, return_exceptions=True):
         if isinstance(result, _Session):
             result.link.abort()
 
@@ -277,16 +281,16 @@
     def __init__(self, owner, hints):
         self._owner = owner
         self._hints = hints
-        self._early = []
+        self._early_messages = []
         self._has_begun = False
         self.link = None
 
     def begin(self):
         """Deliver the messages received so far, and from now on each new one."""
         self._has_begun = True
-        for message in self._early:
+        for message in self._early_messages:
             self._owner.on_session_message(self, message)
-        self._early = []
+        self._early_messages = []
 
     def on_message(self, _link, message):
         if self._has_begun:
@@ -294,7 +298,7 @@
         elif isinstance(message, LeaderHint):
             self._hints.put_nowait(message)
         else:
-            self._early.append(message)
+            self._early_messages.append(message)
 
     def on_closed(self, _link):
         with contextlib.suppress(asyncio.QueueFull):
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -20,14 +20,14 @@
 
 # The platform checks readiness once a second, and callers stop using
 # the daemon after two failed checks. Requests that arrive until then are still served.
-LEAVE_AT_LEAST_S = 2.6
+MIN_STOP_S = 2.6
 # This last part of the grace time is left for the process to exit by itself.
-END_MARGIN_S = 0.4
+EXIT_MARGIN_S = 0.4
 # After the last request of a caller, others may still be in flight for this long. By
 # then other daemons have been notified that this one accepts no new requests.
-QUIET_S = 0.3
+CALLER_QUIET_S = 0.3
 TARGET_QUIET_S = 0.05
-POLL_S = 0.05
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class Daemon:
@@ -72,17 +72,17 @@
             dialect,
             log.part("keys"),
             metrics,
-            self.inbound.keys_told,
-            lambda: self._control.kick(),
+            self.inbound.wake_key_waiters,
+            lambda: self._control.report_now(),
         )
         self._runs = Runs(self.inbound)
         self._peers = Peers(boot)
         self._peer_server = PeerServer(boot, self._runs, self.inbound.intake)
-        self._links = LinkServer(
+        self._link_server = LinkServer(
             PEER_CODEC, self._peer_server.on_message, self._peer_server.on_closed
         )
-        metrics.add_source(self._tell_links)
-        self._caller_path = Callers(
+        metrics.add_source(self._update_link_gauges)
+        self._caller_requests = Callers(
             settings,
             self.view,
             self.state,
@@ -92,22 +92,24 @@
             log.part("caller"),
             metrics,
         )
-        self._callers = HttpServer(
-            self._caller_path.handle, self._on_error, self._on_bad
+        self._caller_server = HttpServer(
+            self._caller_requests.handle, self._on_error, self._on_bad_request
+        )
+        self._readiness_server = HttpServer(self._handle_readiness, self._on_error)
+        self._registry_server = HttpServer(
+            registry(self), self._on_error, self._on_bad_request
         )
-        self._readiness = HttpServer(self._answer_ready, self._on_error)
-        self._registry = HttpServer(registry(self), self._on_error, self._on_bad)
         self._control = ControlLink(
             lambda: DaemonHello(settings.links, boot, self.view.known()),
             self._report,
-            self._take,
-            self._take_grant,
+            self._apply_view_message,
+            self._apply_grant,
             self._seeds,
             log.part("control"),
         )
         self._tasks = []
         self._is_leaving = False
-        self.inbound.on_ended = self._control.kick
+        self.inbound.on_target_ended = self._control.report_now
 
     async def start(self):
         """Listen on all addresses and start to search for the leader.
@@ -118,11 +120,11 @@
             PORT_TAKEN, with the name of the setting.
         """
         settings = self.settings
-        place = split(settings.links_listen or settings.links)
-        await listen(self._links, "links", *place)
-        await listen(self._registry, "registry", *split(settings.registry))
-        await listen(self._readiness, "readiness", *split(settings.readiness))
-        await listen(self._callers, "callers", *split(settings.callers))
+        links_address = split(settings.links_listen or settings.links)
+        await listen(self._link_server, "links", *links_address)
+        await listen(self._registry_server, "registry", *split(settings.registry))
+        await listen(self._readiness_server, "readiness", *split(settings.readiness))
+        await listen(self._caller_server, "callers", *split(settings.callers))
         self._tasks = [
             asyncio.create_task(self._control.run()),
             asyncio.create_task(self._key_calls.run()),
@@ -139,38 +141,41 @@
         self._is_leaving = True
         started_s = boot_s()
         self.log.say("stopping", running=self.inbound.running)
-        self._callers.is_closing = True
+        self._caller_server.is_closing = True
         self._peer_server.leave()
-        last_s = started_s + self.settings.grace_s - END_MARGIN_S
-        called_s = worked_s = boot_s()
-        while boot_s() < last_s:
+        stop_by_s = started_s + self.settings.grace_s - EXIT_MARGIN_S
+        last_call_s = last_work_s = boot_s()
+        while boot_s() < stop_by_s:
             now = boot_s()
-            if self._callers.busy:
-                called_s = now
+            if self._caller_server.busy:
+                last_call_s = now
             if self.inbound.running:
-                worked_s = now
-            is_quiet = now - called_s >= QUIET_S and now - worked_s >= TARGET_QUIET_S
-            if boot_s() - started_s >= LEAVE_AT_LEAST_S:
-                self._take_nothing_new()
+                last_work_s = now
+            is_quiet = (
+                now - last_call_s >= CALLER_QUIET_S
+                and now - last_work_s >= TARGET_QUIET_S
+            )
+            if boot_s() - started_s >= MIN_STOP_S:
+                self._refuse_new_requests()
                 if is_quiet:
                     break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
         self.log.say(
             "stopped", after_s=round(boot_s() - started_s, 3), cut=self.inbound.running
         )
         for task in self._tasks:
             task.cancel()
         for server in (
-            self._callers,
-            self._readiness,
-            self._registry,
-            self._links,
+            self._caller_server,
+            self._readiness_server,
+            self._registry_server,
+            self._link_server,
         ):
             server.close()
         self._peers.close()
         self.inbound.close()
 
-    def _take_nothing_new(self):
+    def _refuse_new_requests(self):
         """Refuse all requests from now on.
 
         Callers that know no other daemon keep sending until the process has to exit,
@@ -178,15 +183,15 @@
         have the rest of the grace time, which is longer than the timeouts of routes.
         """
         self.inbound.is_closing = True
-        self._caller_path.is_closing = True
-        self._callers.stop_listening()
+        self._caller_requests.is_closing = True
+        self._caller_server.stop_listening()
 
-    def _tell_links(self):
+    def _update_link_gauges(self):
         """Set the gauges of bytes in flight, for the metrics page."""
         intake = self.inbound.intake
         self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.left_bytes)
         self.metrics.gauge(
-            "tamarackhaven_link_arriving_bytes", self._links.arriving_bytes
+            "tamarackhaven_link_arriving_bytes", self._link_server.arriving_bytes
         )
         self.metrics.gauge("tamarackhaven_link_bytes_per_second", intake.bytes_per_s)
         self.metrics.gauge(
@@ -204,10 +209,12 @@
         now = boot_s()
         load = self.inbound.load()
         key_load, key_rest = self.inbound.key_load(now)
-        fill = (load.running + load.waiting) / max(load.slots, 1)
+        load_per_slot = (load.running + load.waiting) / max(load.slots, 1)
         return Report(
             number=number,
-            target=state.target(now, round(fill, 2), round(self.inbound.work_s, 4)),
+            target=state.target(
+                now, round(load_per_slot, 2), round(self.inbound.work_s, 4)
+            ),
             holds=state.held(now),
             releases=state.releases,
             settled=state.settled,
@@ -219,20 +226,20 @@
             knows_holds=state.knows_holds(now),
         )
 
-    def _take(self, message):
-        before = self.view.table
-        zones_before = self.view.zones_out
+    def _apply_view_message(self, message):
+        table_before = self.view.table
+        zones_out_before = self.view.zones_out
         if not self.view.take(message):
             return
-        if self.view.table is not before:
-            self._configured()
-        if self._gives_keys(message):
-            self._control.kick()
-        if self.view.zones_out != zones_before:
+        if self.view.table is not table_before:
+            self._on_configuration()
+        if self._makes_target_owner(message):
+            self._control.report_now()
+        if self.view.zones_out != zones_out_before:
             self.log.say("zones out changed", zones=sorted(self.view.zones_out))
-        self.inbound.target_changed()
+        self.inbound.apply_target_state()
 
-    def _gives_keys(self, message):
+    def _makes_target_owner(self, message):
         """Whether a message makes the target beside this daemon the owner of keys.
 
         The lease on them is granted in answer to a report, and the next regular report
@@ -242,9 +249,9 @@
             each.owner == self.state.life for each in message.ranges
         )
 
-    def _configured(self):
+    def _on_configuration(self):
         configuration = self.view.table.configuration
-        for server in (self._callers, self._registry):
+        for server in (self._caller_server, self._registry_server):
             server.limits = configuration.limits
         service = self.view.table.service_by_name.get(self.settings.service)
         if service is not None:
@@ -255,10 +262,10 @@
             routes=len(configuration.routes),
         )
 
-    def _take_grant(self, grant, asked_s):
+    def _apply_grant(self, grant, asked_s):
         self.view.confirm(asked_s)
         self.state.take_grant(grant, asked_s)
-        self.inbound.keys_told()
+        self.inbound.wake_key_waiters()
         self._key_calls.kick()
 
     # Target.
@@ -269,7 +276,7 @@
         reply = self.state.take(beat, boot_s())
         after = self.state.target(boot_s())
         self._key_calls.heard()
-        self.inbound.keys_told()
+        self.inbound.wake_key_waiters()
         if before != after:
             self.log.say(
                 "target told",
@@ -278,21 +285,21 @@
                 cold_s=round(beat.cold_s, 2),
                 slots=beat.slots,
             )
-        self.inbound.target_changed()
+        self.inbound.apply_target_state()
         if before != after or beat.releases or reply.ranges is None:
-            self._control.kick()
+            self._control.report_now()
         return reply
 
     def goodbye(self, name):
         """Mark the target as draining, since it announced that it leaves."""
         self.state.leave(name, boot_s())
         self.log.say("target leaves", name=name)
-        self.inbound.target_changed()
-        self._control.kick()
+        self.inbound.apply_target_state()
+        self._control.report_now()
 
     # HTTP servers.
 
-    async def _answer_ready(self, _request):
+    async def _handle_readiness(self, _request):
         is_ready = self.view.table is not None and not self._is_leaving
         return HttpResponse(200 if is_ready else 503)
 
@@ -300,6 +307,6 @@
         self.metrics.count("tamarackhaven_internal_errors_total")
         self.log.say("internal error", error=repr(error))
 
-    def _on_bad(self, error):
+    def _on_bad_request(self, error):
         self.metrics.count("tamarackhaven_refusals_total", kind=error.kind.name)
         self.log.say("bad request", kind=error.kind.name, detail=error.detail)
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -13,29 +13,29 @@
 from tamarackhaven.sidecar._intake import Intake
 from tamarackhaven.sidecar._key_load import KeyLoad
 from tamarackhaven.sidecar._messages import Answered, GateLoad, Lost, NotRun
-from tamarackhaven.sidecar._pulse import Pulse
+from tamarackhaven.sidecar._pulse import ChangeSignal
 from tamarackhaven.sidecar._target_client import SendEnd, TargetClient
 
 # The target gets a deadline that is earlier by this time: what it answers at its own
 # deadline then still arrives in time, and its connection stays usable.
-REPLY_MARGIN_S = 0.02
+TARGET_DEADLINE_MARGIN_S = 0.02
 # An owner in a zone that is out serves its keys for this fraction of the allowed time.
 # The rest covers a daemon that is notified late.
-ZONE_GRACE_PART = 0.4
+ZONE_GRACE_FRACTION = 0.4
 # A request whose key is about to be granted checks for it at this interval, and
 # whenever the target may have been granted keys.
-KEY_POLL_S = 0.1
+KEY_POLL_INTERVAL_S = 0.1
 # While a daemon is cut off from the control VMs, the lease on its target's new keys
 # doesn't arrive. Callers for these keys wait for at most this fraction of the time
 # left.
-KEY_PATIENCE = 0.5
+KEY_WAIT_FRACTION = 0.5
 # The gate is checked at this interval even when nothing else happens, so that requests
 # that can no longer start in time are refused.
-SETTLE_S = 0.05
+SETTLE_INTERVAL_S = 0.05
 # A target has ended if it has refused this many connections over this time and has sent
 # no heartbeat since the first one: nothing listens on its port.
-ENDED_REFUSALS = 3
-ENDED_AFTER_S = 0.5
+MIN_REFUSED_CONNECTIONS = 3
+MIN_REFUSING_TIME_S = 0.5
 
 
 class Inbound:
@@ -69,15 +69,15 @@
         self.client = TargetClient(host, port)
         self._gate = Gate(1, random.random)
         self.intake = Intake(self._gate, metrics)
-        self._start_by_number = {}
-        self._numbers = itertools.count()
+        self._future_by_number = {}
+        self._offer_numbers = itertools.count()
         self._sending = set()
         self._key_load = KeyLoad()
         self._refused_since_s = None
-        self._refusals = 0
-        self._told = Pulse()
-        self._settling = None
-        self.on_ended = lambda: None
+        self._connection_refusals = 0
+        self._keys_changed = ChangeSignal()
+        self._settle_timer = None
+        self.on_target_ended = lambda: None
         # Requests for this target's keys keep arriving until the process has to exit,
         # and those that run at that moment would be cut off. So nothing new starts in
         # the last part of the grace time; callers wait for the next process.
@@ -110,19 +110,19 @@
         """Return the requests per second for keys, as ``KeyLoad.rates`` does."""
         return self._key_load.rates(now)
 
-    def target_changed(self):
+    def apply_target_state(self):
         """Apply the slots and the cold state that the target reported."""
         beat = self._state.heartbeat
         if beat is not None:
             self._gate.slots = max(beat.slots, 1)
-        self._follow_cold()
-        self._carry_out(self._gate.settle(boot_s()))
+        self._update_cold()
+        self._apply(self._gate.settle(boot_s()))
 
-    def keys_told(self):
+    def wake_key_waiters(self):
         """Wake requests that wait for a key that the target may have been granted."""
-        self._told.set()
+        self._keys_changed.notify_all()
 
-    def _follow_cold(self):
+    def _update_cold(self):
         service = self._view.service(self._state.heartbeat)
         if service is None or not self._state.is_cold(boot_s()):
             self._gate.set_cold(None)
@@ -131,10 +131,10 @@
 
     def expected_wait_s(self, query):
         """Estimate the wait of a request in seconds, None if none is accepted."""
-        is_open = self._state.takes_new(False, boot_s()) and not self.is_closing
+        is_open = self._state.accepts_new(False, boot_s()) and not self.is_closing
         if not is_open or self._view.zone_out_since_s(self._settings.zone) is not None:
             return None
-        self._follow_cold()
+        self._update_cold()
         now = boot_s()
         objective_s = now + query.objective_ms / 1000
         offer = Offer(0, query.route, query.priority, objective_s, objective_s)
@@ -163,10 +163,10 @@
             self._key_load.count(forward.key, boot_s())
         deadline_s = boot_s() + forward.left_ms / 1000
         objective_s = boot_s() + forward.objective_ms / 1000
-        refusal = await self._not_here(forward, deadline_s)
+        refusal = await self._refusal_kind(forward, deadline_s)
         if refusal is not None:
             return self._not_run(forward, refusal)
-        number = next(self._numbers)
+        number = next(self._offer_numbers)
         offer = Offer(
             number,
             forward.route,
@@ -176,67 +176,69 @@
             forward.waits,
         )
         body = forward.body
-        began_s = boot_s()
+        transfer_start_s = boot_s()
         if incoming is not None:
-            body = await self._bring(incoming, offer)
+            body = await self._receive_body(incoming, offer)
             if isinstance(body, Refuse):
-                return self._refused(forward, body)
+                return self._gate_refusal(forward, body)
         offered_s = boot_s()
-        refuse = await self._enter(offer)
+        gate_refusal = await self._wait_for_start(offer)
         waited_s = boot_s() - offered_s
-        if refuse is not None:
-            return self._refused(forward, refuse)
+        if gate_refusal is not None:
+            return self._gate_refusal(forward, gate_refusal)
         # The target may have begun to leave, or lost the key, while the request waited.
-        refusal = self._closed(forward) or self._not_held(forward)
+        refusal = self._closed_kind(forward) or self._not_held_kind(forward)
         if refusal is not None:
-            self._carry_out(self._gate.finish(number, False, boot_s()))
+            self._apply(self._gate.finish(number, False, boot_s()))
             return self._not_run(forward, refusal)
-        worked = False
+        has_answered = False
         self._sending.add(id(forward))
         try:
             result = await self._send(forward, body, deadline_s)
-            worked = isinstance(result, Answered)
-            if worked:
+            has_answered = isinstance(result, Answered)
+            if has_answered:
                 return attrs.evolve(
                     result,
                     waited_ms=round(waited_s * 1000, 1),
-                    brought_ms=round((offered_s - began_s) * 1000, 1),
+                    brought_ms=round((offered_s - transfer_start_s) * 1000, 1),
                 )
             return result
         finally:
             self._sending.discard(id(forward))
-            self._carry_out(self._gate.finish(number, worked, boot_s()))
+            self._apply(self._gate.finish(number, has_answered, boot_s()))
 
-    async def _bring(self, incoming, offer):
+    async def _receive_body(self, incoming, offer):
         """Receive a request's body; return it, or a ``Refuse`` before it is sent."""
-        self._follow_cold()
-        bring_s = self.intake.expected_s(incoming.size, offer)
-        others_come = self.intake.left_bytes > 0
-        refuse = self._gate.foresee(offer, bring_s, others_come, boot_s())
-        if refuse is not None:
-            return refuse
+        self._update_cold()
+        transfer_s = self.intake.expected_s(incoming.size, offer)
+        has_other_arrivals = self.intake.left_bytes > 0
+        gate_refusal = self._gate.foresee(
+            offer, transfer_s, has_other_arrivals, boot_s()
+        )
+        if gate_refusal is not None:
+            return gate_refusal
         return await self.intake.bring(incoming, offer)
 
-    async def _not_here(self, forward, deadline_s):
+    async def _refusal_kind(self, forward, deadline_s):
         """Return the ``ErrorKind`` why the target must not get the request, or None."""
-        kind = self._closed(forward)
+        kind = self._closed_kind(forward)
         if kind is not None or forward.key < 0:
             return kind
         now = boot_s()
-        patience_s = now + KEY_PATIENCE * (deadline_s - now)
+        wait_until_s = now + KEY_WAIT_FRACTION * (deadline_s - now)
         while not self._state.holds(forward.key, boot_s()):
             # The target is granted an arriving key within a heartbeat. After a refusal
             # the caller would stay away for longer than that.
-            if not self._is_coming(forward):
+            if not self._is_key_arriving(forward):
                 return ErrorKind.NOT_OWNER
-            if boot_s() + KEY_POLL_S >= patience_s:
+            if boot_s() + KEY_POLL_INTERVAL_S >= wait_until_s:
                 return ErrorKind.MOVING
-            await self._told.wait(KEY_POLL_S)
-            if self._closed(forward) is not None:
+            await self._keys_changed.wait(KEY_POLL_INTERVAL_S)
+            if self._closed_kind(forward) is not None:
                 break
-        return self._closed(forward)
+        return self._closed_kind(forward)
 
-    def _is_coming(self, forward):
+    def _is_key_arriving(self, forward):
         """Whether the target is about to be granted a request's key.
 
         This daemon may have received the new owner, but not yet the lease. A lease that
@@ -245,21 +247,21 @@
         if self._state.is_granted(forward.key, boot_s()):
             return True
         owner = self._view.owner(forward.service, forward.key)
-        is_ours = owner is not None and owner.life == self._state.life
-        known = self._view.keys_index(forward.service)
-        return is_ours and self._state.keys_index < known
+        is_own = owner is not None and owner.life == self._state.life
+        known_index = self._view.keys_index(forward.service)
+        return is_own and self._state.keys_index < known_index
 
-    def _not_held(self, forward):
+    def _not_held_kind(self, forward):
         held = forward.key < 0 or self._state.holds(forward.key, boot_s())
         return None if held else ErrorKind.NOT_OWNER
 
-    def _closed(self, forward):
+    def _closed_kind(self, forward):
         state = self._state
         if self.is_closing:
             return ErrorKind.DRAINING
         if forward.life != state.life:
             return ErrorKind.TARGET_UNREACHABLE
-        if not state.takes_new(forward.key >= 0, boot_s()):
+        if not state.accepts_new(forward.key >= 0, boot_s()):
             return ErrorKind.DRAINING
         if self._is_zone_closed(forward):
             return ErrorKind.ZONE_OUT
@@ -274,59 +276,59 @@
         since_s = self._view.zone_out_since_s(self._settings.zone)
         if since_s is None:
             return False
-        grace_s = ZONE_GRACE_PART * self._settings.zone_out_s
+        grace_s = ZONE_GRACE_FRACTION * self._settings.zone_out_s
         return forward.key < 0 or boot_s() - since_s > grace_s
 
-    async def _enter(self, offer):
+    async def _wait_for_start(self, offer):
         """Wait at the gate; return None once the request starts, else a ``Refuse``."""
-        self._follow_cold()
+        self._update_cold()
         decision = self._gate.offer(offer, boot_s())
         if isinstance(decision, Refuse):
             return decision
         if isinstance(decision, Start):
             return None
         future = asyncio.get_running_loop().create_future()
-        self._start_by_number[offer.number] = future
-        if self._settling is None:
-            self._settle_later()
+        self._future_by_number[offer.number] = future
+        if self._settle_timer is None:
+            self._schedule_settle()
         try:
             # Awaiting the future itself would cancel it when a caller disconnects.
             await asyncio.wait([future])
         except asyncio.CancelledError:
             if future.done() and isinstance(future.result(), Start):
-                self._carry_out(self._gate.finish(offer.number, False, boot_s()))
-            self._carry_out(self._gate.withdraw(offer.number, boot_s()))
+                self._apply(self._gate.finish(offer.number, False, boot_s()))
+            self._apply(self._gate.withdraw(offer.number, boot_s()))
             raise
         finally:
-            self._start_by_number.pop(offer.number, None)
+            self._future_by_number.pop(offer.number, None)
         decision = future.result()
         return decision if isinstance(decision, Refuse) else None
 
-    def _settle_later(self):
+    def _schedule_settle(self):
         loop = asyncio.get_running_loop()
-        self._settling = loop.call_later(SETTLE_S, self._settle)
+        self._settle_timer = loop.call_later(SETTLE_INTERVAL_S, self._settle)
 
     def _settle(self):
         """Apply the gate's decisions, and repeat while requests wait there."""
-        self._settling = None
-        self._follow_cold()
-        self._carry_out(self._gate.settle(boot_s()))
-        if self._start_by_number:
-            self._settle_later()
+        self._settle_timer = None
+        self._update_cold()
+        self._apply(self._gate.settle(boot_s()))
+        if self._future_by_number:
+            self._schedule_settle()
 
-    def _carry_out(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
-            future = self._start_by_number.get(decision.number)
+            future = self._future_by_number.get(decision.number)
             if future is not None and not future.done():
                 future.set_result(decision)
             elif isinstance(decision, Start):
                 # Its caller disconnected at the same moment: free the slot again.
-                self._carry_out(self._gate.finish(decision.number, False, boot_s()))
+                self._apply(self._gate.finish(decision.number, False, boot_s()))
 
     # The target.
 
     async def _send(self, forward, body, deadline_s):
-        left_s = deadline_s - boot_s() - REPLY_MARGIN_S
+        left_s = deadline_s - boot_s() - TARGET_DEADLINE_MARGIN_S
         if left_s <= 0:
             return self._not_run(forward, ErrorKind.DEADLINE_PAST)
         name = self._state.heartbeat.name if self._state.heartbeat else ""
@@ -341,11 +343,11 @@
                     body,
                     lambda reply: self._dialect.is_reply_to(reply, forward.attempt_id),
                 ),
-                left_s + REPLY_MARGIN_S,
+                left_s + TARGET_DEADLINE_MARGIN_S,
             )
         except TimeoutError:
             return self._lost(forward, ErrorKind.ANSWER_TIMEOUT, started_s)
-        self._note_refused(sent)
+        self._record_connection_refusal(sent)
         if sent.end is SendEnd.NOT_SENT:
             return self._not_run(
                 forward, ErrorKind.TARGET_UNREACHABLE, detail=sent.detail
@@ -354,9 +356,9 @@
             return self._lost(
                 forward, ErrorKind.TARGET_SENT_NOTHING, started_s, sent.detail
             )
-        return self._judged(forward, sent.reply, started_s)
+        return self._result_from_reply(forward, sent.reply, started_s)
 
-    def _judged(self, forward, reply, started_s):
+    def _result_from_reply(self, forward, reply, started_s):
         verdict = self._dialect.judge(reply, forward.attempt_id)
         if verdict is Verdict.ANSWERED:
             self._metrics.observe(
@@ -377,38 +379,42 @@
         detail = f"status {reply.status}"
         return self._lost(forward, ErrorKind.ANSWER_MISMATCH, started_s, detail)
 
-    def _note_refused(self, sent):
+    def _record_connection_refusal(self, sent):
         """Detect that the target has ended, before its lease expires."""
         if not sent.is_refused:
             self._refused_since_s = None
-            self._refusals = 0
+            self._connection_refusals = 0
             return
         now = boot_s()
         if self._refused_since_s is None:
             self._refused_since_s = now
-        self._refusals += 1
-        is_long = now - self._refused_since_s >= ENDED_AFTER_S
-        is_unheard = self._state.heard_s < self._refused_since_s
-        if is_long and is_unheard and self._refusals >= ENDED_REFUSALS:
+        self._connection_refusals += 1
+        is_long_enough = now - self._refused_since_s >= MIN_REFUSING_TIME_S
+        has_no_heartbeat = self._state.heard_s < self._refused_since_s
+        if (
+            is_long_enough
+            and has_no_heartbeat
+            and self._connection_refusals >= MIN_REFUSED_CONNECTIONS
+        ):
             self._log.say("target ended", life=self._state.life)
             self._state.end()
             self._refused_since_s = None
-            self.on_ended()
+            self.on_target_ended()
 
     # Results.
 
-    def _refused(self, forward, refuse):
+    def _gate_refusal(self, forward, gate_refusal):
         if forward.waits:
-            return self._not_run(forward, refuse.kind, refuse.retry_after_s)
-        return self._busy(forward, refuse)
+            return self._not_run(forward, gate_refusal.kind, gate_refusal.retry_after_s)
+        return self._busy(forward, gate_refusal)
 
-    def _busy(self, forward, refuse):
+    def _busy(self, forward, gate_refusal):
         """Report the expected wait to the caller's daemon, which logs its decision."""
         self._metrics.count("tamarackhaven_gate_busy_total", service=forward.service)
         return NotRun(
             forward.number,
-            refuse.kind.name,
-            refuse.retry_after_s,
+            gate_refusal.kind.name,
+            gate_refusal.retry_after_s,
             load=self.load(forward.route),
         )
 
@@ -428,7 +434,7 @@
             left_ms=round(forward.left_ms),
             offered=offered,
             detail=detail,
-            **self._inputs(),
+            **self._log_context(),
         )
         return NotRun(
             forward.number, kind.name, retry_after_s, offered, self.load(forward.route)
@@ -445,11 +451,11 @@
             route=forward.route,
             after_s=round(boot_s() - started_s, 3),
             detail=detail,
-            **self._inputs(),
+            **self._log_context(),
         )
         return Lost(forward.number, kind.name, self.load(forward.route))
 
-    def _inputs(self):
+    def _log_context(self):
         """Return the state that decides about a request, as fields for its log line."""
         state = self._state
         now = boot_s()
--- a/tamarackhaven/sidecar/_peers.py
+++ b/tamarackhaven/sidecar/_peers.py
@@ -35,27 +35,27 @@
 # one that has been silent for the timeout is closed: a link between zones answers
 # within milliseconds. Most answers arrive before the first probe; a probe with each
 # request would double the number of small packets between zones.
-PROBE_S = 0.25
-SILENT_S = 0.75
-REDIAL_S = 0.05
+PROBE_INTERVAL_S = 0.25
+SILENCE_TIMEOUT_S = 0.75
+RECONNECT_INTERVAL_S = 0.05
 # Larger bodies are announced and sent on request. On the smallest links of VMs, some
 # megabits per second, sending this many bytes takes some hundredths of a second.
-MOST_WHOLE_BYTES = 8192
+MAX_INLINE_BODY_BYTES = 8192
 # The other daemon normally answers by the deadline; after this much longer the request
 # fails without its answer.
-LATE_S = 0.015
+ANSWER_GRACE_S = 0.015
 # A query of the expected wait takes some milliseconds. A daemon that is too busy to
 # answer it by then is no better choice than the others.
-ASK_TIMEOUT_S = 0.04
+QUERY_TIMEOUT_S = 0.04
 # A leaving daemon has exited after its grace time. If its link breaks silently, it must
 # not count as leaving for longer than that.
-LEAVING_S = 8.0
+LEAVING_TTL_S = 8.0
 # A process that was stopped in order is back within this time, or its VM is removed.
-RESTART_S = 2.0
+RESTARTING_TTL_S = 2.0
 
 
 @attrs.define(eq=False)
-class _Open:
+class _OpenForward:
     """A forward that hasn't been answered yet.
 
     Parameters
@@ -78,14 +78,14 @@
     objective_s: float
     future: asyncio.Future
     is_known: bool = False
-    was_sent: bool = False
+    is_sent_whole: bool = False
 
     @property
     def is_announced(self):
         """Whether its body is sent only on request."""
-        return len(self.forward.body) > MOST_WHOLE_BYTES
+        return len(self.forward.body) > MAX_INLINE_BODY_BYTES
 
-    def current(self, now):
+    def with_time_left(self, now):
         """Return the forward to send at ``now``, with the time left."""
         left = {
             "left_ms": (self.deadline_s - now) * 1000,
@@ -102,25 +102,25 @@
 
     def send(self, link):
         """Send the forward, without its body if that is announced."""
-        if not link.send(self.current(boot_s())):
+        if not link.send(self.with_time_left(boot_s())):
             return
         self.is_known = True
         if not self.is_announced:
-            self.was_sent = True
+            self.is_sent_whole = True
 
     def send_part(self, ask, link):
         """Send the part of the body that a ``BodyAsk`` requests."""
         # The request may run once the last byte has been sent.
         if ask.offset + ask.count >= len(self.forward.body):
-            self.was_sent = True
+            self.is_sent_whole = True
         link.send(self.part(ask))
 
-    def lose(self, kind):
+    def fail(self, kind):
         """End it as ``Lost`` with ``kind`` if it may have run, else as ``NotRun``."""
         if self.future.done():
             return
         number = self.forward.number
-        if self.was_sent:
+        if self.is_sent_whole:
             self.future.set_result(Lost(number, kind.name))
         else:
             self.future.set_result(NotRun(number, ErrorKind.OWNER_UNREACHABLE.name))
@@ -134,10 +134,10 @@
         self._boot = boot
         self._peer_boot = None
         self._open_by_number = {}
-        self._asked_by_number = {}
+        self._future_by_query_number = {}
         self._query_numbers = itertools.count(1)
         self._link = None
-        self._welcomed = False
+        self._is_welcomed = False
         self._task = None
         self._leaving_until_s = float("-inf")
         self._restarting_until_s = float("-inf")
@@ -155,16 +155,16 @@
     async def run(self, forward, deadline_s, objective_s):
         """Send a request; return its ``Answered``, ``NotRun`` or ``Lost``."""
         future = asyncio.get_running_loop().create_future()
-        entry = _Open(forward, deadline_s, objective_s, future)
+        entry = _OpenForward(forward, deadline_s, objective_s, future)
         self._open_by_number[forward.number] = entry
         self._send(entry)
         if self._task is None:
-            self._task = asyncio.get_running_loop().create_task(self._keep())
+            self._task = asyncio.get_running_loop().create_task(self._maintain_link())
         try:
-            await asyncio.wait([future], timeout=deadline_s - boot_s() + LATE_S)
+            await asyncio.wait([future], timeout=deadline_s - boot_s() + ANSWER_GRACE_S)
             if not future.done():
                 self._cancel(entry)
-                entry.lose(ErrorKind.ANSWER_TIMEOUT)
+                entry.fail(ErrorKind.ANSWER_TIMEOUT)
             return future.result()
         except asyncio.CancelledError:
             self._cancel(entry)
@@ -176,7 +176,7 @@
         if entry.is_known and self._link is not None:
             self._link.send(Cancel(entry.forward.number))
 
-    async def ask(self, query):
+    async def query_wait(self, query):
         """Return the expected wait of a request there in seconds, None if unknown."""
         if not self._is_ready:
             return None
@@ -184,18 +184,18 @@
         # replies apart.
         query = attrs.evolve(query, number=next(self._query_numbers))
         future = asyncio.get_running_loop().create_future()
-        self._asked_by_number[query.number] = future
+        self._future_by_query_number[query.number] = future
         try:
             self._link.send(query)
-            return await asyncio.wait_for(future, ASK_TIMEOUT_S)
+            return await asyncio.wait_for(future, QUERY_TIMEOUT_S)
         except TimeoutError:
             return None
         finally:
-            del self._asked_by_number[query.number]
+            del self._future_by_query_number[query.number]
 
     @property
     def _is_ready(self):
-        return self._welcomed and self._link is not None and self._link.is_open
+        return self._is_welcomed and self._link is not None and self._link.is_open
 
     @property
     def unsent_bytes(self):
@@ -206,24 +206,24 @@
         if self._is_ready:
             entry.send(self._link)
 
-    async def _keep(self):
+    async def _maintain_link(self):
         """Keep the link open while requests are in flight."""
         try:
             while self._open_by_number:
                 link = self._link
                 if link is not None and link.is_open:
-                    await asyncio.sleep(PROBE_S)
-                    link.probe(boot_s(), SILENT_S, PROBE_S)
+                    await asyncio.sleep(PROBE_INTERVAL_S)
+                    link.probe(boot_s(), SILENCE_TIMEOUT_S, PROBE_INTERVAL_S)
                 else:
                     await self._dial()
         finally:
             self._task = None
             if self._open_by_number:
                 for entry in tuple(self._open_by_number.values()):
-                    entry.lose(ErrorKind.FORWARD_LOST)
+                    entry.fail(ErrorKind.FORWARD_LOST)
 
     async def _dial(self):
-        self._welcomed = False
+        self._is_welcomed = False
         try:
             self._link = await dial(
                 self._address, PEER_CODEC, self._on_message, self._on_closed
@@ -231,22 +231,22 @@
         except ConnectionRefusedError:
             # No process listens, so the one that had received requests has ended, and
             # they are lost with it.
-            self._give_up(keeps_unsafe=False)
-            await asyncio.sleep(REDIAL_S)
+            self._fail_waiting(can_keep_unsafe=False)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
             return
         except OSError:
-            self._give_up(keeps_unsafe=True)
-            await asyncio.sleep(REDIAL_S)
+            self._fail_waiting(can_keep_unsafe=True)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
             return
         self._link.send(PeerHello(self._boot))
 
-    def _give_up(self, keeps_unsafe):
+    def _fail_waiting(self, can_keep_unsafe):
         """Fail the forwards; ``can_keep_unsafe`` exempts unsafe ones that may run."""
         for entry in tuple(self._open_by_number.values()):
-            is_running = entry.was_sent and not entry.forward.is_safe
-            if keeps_unsafe and is_running and boot_s() < entry.deadline_s:
+            is_running = entry.is_sent_whole and not entry.forward.is_safe
+            if can_keep_unsafe and is_running and boot_s() < entry.deadline_s:
                 continue
-            entry.lose(ErrorKind.FORWARD_LOST)
+            entry.fail(ErrorKind.FORWARD_LOST)
 
     def _on_message(self, link, message):
         if link is not self._link:
@@ -258,9 +258,9 @@
             if entry is not None and not entry.future.done():
                 entry.send_part(message, link)
         elif isinstance(message, Leaving):
-            self._leaving_until_s = boot_s() + LEAVING_S
+            self._leaving_until_s = boot_s() + LEAVING_TTL_S
         elif isinstance(message, WaitReply):
-            future = self._asked_by_number.get(message.number)
+            future = self._future_by_query_number.get(message.number)
             if future is not None and not future.done():
                 future.set_result(message.wait_s)
         elif isinstance(message, Answered | NotRun | Lost):
@@ -270,25 +270,25 @@
 
     def _on_welcome(self, message):
         self._restarting_until_s = float("-inf")
-        restarted = self._peer_boot not in (None, message.boot)
+        has_restarted = self._peer_boot not in (None, message.boot)
         self._peer_boot = message.boot
-        self._welcomed = True
+        self._is_welcomed = True
         for entry in tuple(self._open_by_number.values()):
-            if restarted and entry.was_sent:
+            if has_restarted and entry.is_sent_whole:
                 # The process that had received it has ended, with all its state.
-                entry.lose(ErrorKind.FORWARD_LOST)
+                entry.fail(ErrorKind.FORWARD_LOST)
             else:
                 self._send(entry)
 
     def _on_closed(self, link):
         if link is self._link:
             self._link = None
-            self._welcomed = False
+            self._is_welcomed = False
             # No requests are sent to a leaving daemon, so its return would go
             # unnoticed, and after a rolling restart of all daemons no target would be
             # left. Its process ends with the link, so the mark is removed here.
             if self.is_leaving:
-                self._restarting_until_s = boot_s() + RESTART_S
+                self._restarting_until_s = boot_s() + RESTARTING_TTL_S
             self._leaving_until_s = float("-inf")
 
     def close(self):
@@ -318,12 +318,12 @@
             peer = self._peer_by_address[address] = _Peer(address, self._boot)
         return peer
 
-    async def ask(self, address, query):
+    async def query_wait(self, address, query):
         """Return the expected wait at the daemon at ``address``.
 
         In seconds, None if unknown.
         """
-        return await self._peer(address).ask(query)
+        return await self._peer(address).query_wait(query)
 
     async def run(self, address, forward, deadline_s, objective_s):
         """Run a request at the daemon at ``address``.
@@ -410,22 +410,22 @@
                 self._intake.renew(self._body_by_key[key])
             return
         if forward.body_bytes:
-            self._body_by_key[key] = self._announced(boot, forward)
+            self._body_by_key[key] = self._incoming_body(boot, forward)
         task = self._runs.start(key, forward, self._body_by_key.get(key))
         keys.add(key)
-        task.add_done_callback(lambda done: self._answer(boot, forward, done))
+        task.add_done_callback(lambda done: self._send_result(boot, forward, done))
 
-    def _announced(self, boot, forward):
+    def _incoming_body(self, boot, forward):
         """Return the ``IncomingBody`` of a request whose body is sent on request."""
 
-        def ask(offset, count):
+        def request_part(offset, count):
             link = self._link_by_boot.get(boot)
             if link is not None:
                 link.send(BodyAsk(forward.number, offset, count))
 
-        return IncomingBody(forward.body_bytes, ask)
+        return IncomingBody(forward.body_bytes, request_part)
 
-    def _answer(self, boot, forward, task):
+    def _send_result(self, boot, forward, task):
         key = (boot, forward.number)
         self._body_by_key.pop(key, None)
         keys = self._keys_by_boot.get(boot)
@@ -435,7 +435,7 @@
                 del self._keys_by_boot[boot]
         link = self._link_by_boot.get(boot)
         if link is not None:
-            link.send(_end(forward, task))
+            link.send(_result_of(forward, task))
 
     def on_closed(self, link):
         """Cancel the requests of a link, unless its daemon reconnects in time."""
@@ -444,9 +444,9 @@
             return
         del self._link_by_boot[boot]
         loop = asyncio.get_running_loop()
-        loop.call_later(REATTACH_S, self._give_up, boot)
+        loop.call_later(REATTACH_S, self._cancel_abandoned, boot)
 
-    def _give_up(self, boot):
+    def _cancel_abandoned(self, boot):
         if boot in self._link_by_boot:
             return
         for key in tuple(self._keys_by_boot.get(boot, ())):
@@ -459,7 +459,7 @@
             link.send(Leaving())
 
 
-def _end(forward, task):
+def _result_of(forward, task):
     """Return the ``Answered``, ``NotRun`` or ``Lost`` of a task that is done."""
     number = forward.number
     if task.cancelled():
--- a/tamarackhaven/sidecar/_pulse.py
+++ b/tamarackhaven/sidecar/_pulse.py
@@ -3,13 +3,13 @@
 import asyncio
 
 
-class Pulse:
+class ChangeSignal:
     """An event that wakes the tasks that wait for it, and is clear again at once."""
 
     def __init__(self):
         self._event = asyncio.Event()
 
-    def set(self):
+    def notify_all(self):
         """Wake all tasks that wait at this moment."""
         self._event.set()
         self._event = asyncio.Event()
--- a/tamarackhaven/sidecar/_target_client.py
+++ b/tamarackhaven/sidecar/_target_client.py
@@ -17,16 +17,16 @@
 OPEN_TIMEOUT_S = 0.5
 # A connection isn't reused shortly before the target's idle timeout: a request that is
 # sent while the target closes the connection may or may not have run.
-KEEP_MARGIN_S = 1.0
-KEEP_MARGIN_PART = 0.25
+MAX_IDLE_MARGIN_S = 1.0
+IDLE_MARGIN_FRACTION = 0.25
 # Idle timeout assumed if the target doesn't name one.
-KEEP_DEFAULT_S = 3.0
+DEFAULT_IDLE_TIMEOUT_S = 3.0
 # A target that crashes right after a heartbeat can't be running again within this time.
-SAME_LIFE_S = 0.1
+MIN_RESTART_S = 0.1
 ANY_TIME = float("inf")
 
 
-class _NoneOpenedByError(Exception):
+class _NoConnectionToLifeError(Exception):
     """No idle connection is old enough for the life, and it's too late to open one."""
 
 
@@ -78,8 +78,8 @@
         self._host = host
         self._port = port
         self._idle = []
-        self._used = 0
-        self.opened = 0
+        self._used_count = 0
+        self.opened_count = 0
 
     async def send(self, method, target, headers, body, is_reply):
         """Send a request; return ``Sent``. Cancelling it closes its connection."""
@@ -98,26 +98,26 @@
         The result is NOT_SENT also if there is no such connection before the next
         heartbeat.
         """
-        opened_by_s = heard_s + SAME_LIFE_S
+        opened_by_s = heard_s + MIN_RESTART_S
         request = method, target, headers, body, any_reply
         try:
             return await self._send(request, opened_by_s)
-        except _NoneOpenedByError:
+        except _NoConnectionToLifeError:
             return Sent(SendEnd.NOT_SENT, None, "no connection to this life")
 
     async def _send(self, request, opened_by_s):
         for _ in range(2):
-            connection = self._take(opened_by_s)
+            connection = self._take_idle(opened_by_s)
             if connection is None:
                 if boot_s() > opened_by_s:
-                    raise _NoneOpenedByError
+                    raise _NoConnectionToLifeError
                 try:
                     connection = await self._open()
                 except ConnectionRefusedError as error:
                     return Sent(SendEnd.NOT_SENT, None, repr(error), is_refused=True)
                 except OSError as error:
                     return Sent(SendEnd.NOT_SENT, None, repr(error))
-            self._used += 1
+            self._used_count += 1
             try:
                 reply = await connection.request(*request)
             except RequestNotSentError:
@@ -125,13 +125,13 @@
             except RequestUnansweredError as error:
                 return Sent(SendEnd.UNANSWERED, None, str(error))
             finally:
-                self._used -= 1
-            self._give_back(connection)
+                self._used_count -= 1
+            self._return_to_idle(connection)
             return Sent(SendEnd.REPLIED, reply)
         return Sent(SendEnd.NOT_SENT, None, "closed while idle")
 
     async def _open(self):
-        self.opened += 1
+        self.opened_count += 1
         return await ClientConnection.open(self._host, self._port, OPEN_TIMEOUT_S)
 
     async def keep(self, count):
@@ -140,14 +140,14 @@
         They are open when the next heartbeat arrives, so ``send_to_life`` can use them
         from then on.
         """
-        while len(self._idle) + self._used < count:
+        while len(self._idle) + self._used_count < count:
             try:
-                self._give_back(await self._open())
+                self._return_to_idle(await self._open())
             except OSError:
                 # Nothing listens; the process that sends the next heartbeat will.
                 return
 
-    def _take(self, opened_by_s):
+    def _take_idle(self, opened_by_s):
         """Return an idle connection, None if none may be used.
 
         Without a limit on the age, it's the one used last, so that unneeded ones reach
@@ -155,9 +155,9 @@
         open.
         """
         now = boot_s()
-        is_any = opened_by_s == ANY_TIME
-        for connection in reversed(self._idle) if is_any else tuple(self._idle):
-            if not connection.is_open or not self._is_young(connection, now):
+        is_any_age = opened_by_s == ANY_TIME
+        for connection in reversed(self._idle) if is_any_age else tuple(self._idle):
+            if not connection.is_open or not self._is_reusable(connection, now):
                 connection.close()
             elif connection.opened_s <= opened_by_s:
                 self._idle.remove(connection)
@@ -165,14 +165,14 @@
         self._idle = [each for each in self._idle if each.is_open]
         return None
 
-    def _is_young(self, connection, now):
+    def _is_reusable(self, connection, now):
         limit_s = connection.idle_limit_s
         if limit_s is None:
-            limit_s = KEEP_DEFAULT_S
-        margin_s = min(KEEP_MARGIN_S, limit_s * KEEP_MARGIN_PART)
+            limit_s = DEFAULT_IDLE_TIMEOUT_S
+        margin_s = min(MAX_IDLE_MARGIN_S, limit_s * IDLE_MARGIN_FRACTION)
         return now - connection.idle_since_s < limit_s - margin_s
 
-    def _give_back(self, connection):
+    def _return_to_idle(self, connection):
         if connection.is_open:
             self._idle.append(connection)
 
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -23,7 +23,7 @@
 # A target without a heartbeat for this many intervals and one second gets no requests
 # that another target can run. A heartbeat may be late by seconds; after a crash there
 # are none at all.
-SILENT_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 
 _HOLDS_BY_ORDERS = {
     HoldOrders.HEARTBEATS: HeartbeatHolds,
@@ -82,7 +82,7 @@
         self.leaving_since_s = None
         self.ended_lives = []
         self._keys = None
-        self._orders_by = HoldOrders.HEARTBEATS
+        self._hold_orders = HoldOrders.HEARTBEATS
 
     @property
     def life(self):
@@ -102,19 +102,19 @@
         self.heard_s = now
         self.cold_until_s = now + beat.cold_s
         if beat.phase is TargetPhase.DRAINING:
-            self._leave(now)
+            self._start_draining(now)
         if self._keys is None:
-            self._keys = self._make_keys()
+            self._keys = self._make_holds()
         return self._keys.heard(beat, now)
 
-    def _make_keys(self):
-        kind = _HOLDS_BY_ORDERS[self._orders_by]
+    def _make_holds(self):
+        kind = _HOLDS_BY_ORDERS[self._hold_orders]
         return kind(self._settings.lease, self.life)
 
     def tell_keys_by(self, orders):
         """Set how the target is told its keys from now on, a ``HoldOrders``."""
-        if orders is not self._orders_by:
-            self._orders_by = orders
+        if orders is not self._hold_orders:
+            self._hold_orders = orders
             self._keys = None
 
     def _accept(self, beat):
@@ -147,9 +147,9 @@
     def leave(self, name, now):
         """Mark the target as draining, since it announced that it leaves."""
         if self.heartbeat is not None and self.heartbeat.name == name:
-            self._leave(now)
+            self._start_draining(now)
 
-    def _leave(self, now):
+    def _start_draining(self, now):
         if self.leaving_since_s is None:
             self.leaving_since_s = now
 
@@ -208,10 +208,10 @@
 
     def is_silent(self, now):
         """Whether heartbeats have been missing for too long."""
-        limit_s = 1.0 + SILENT_HEARTBEATS * self._settings.lease.heartbeat_s
+        limit_s = 1.0 + MAX_MISSED_HEARTBEATS * self._settings.lease.heartbeat_s
         return now - self.heard_s > limit_s
 
-    def takes_new(self, is_sharded, now):
+    def accepts_new(self, is_sharded, now):
         """Whether the target may get new requests; a draining one only for its keys."""
         if self.heartbeat is None:
             return False
@@ -239,7 +239,7 @@
         beat = self.heartbeat
         if beat is None:
             return None
-        leaves = self.leaving_since_s is not None or self.is_silent(now)
+        is_leaving = self.leaving_since_s is not None or self.is_silent(now)
         return Target(
             life=self.life,
             name=beat.name,
@@ -249,7 +249,7 @@
             host=self._host,
             port=self._port,
             slots=beat.slots,
-            phase=TargetPhase.DRAINING if leaves else TargetPhase.READY,
+            phase=TargetPhase.DRAINING if is_leaving else TargetPhase.READY,
             load=load,
             work_s=work_s,
             is_cold=self.is_cold(now),
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -14,11 +14,11 @@
 from tamarackhaven.fleet._model import TargetPhase
 from tamarackhaven.fleet._ranges import RangeIndex, assigned
 from tamarackhaven.routing import Configuration, RouteTable, edited
-from tamarackhaven.sidecar._pulse import Pulse
+from tamarackhaven.sidecar._pulse import ChangeSignal
 
 # A leader answers several times a second. Without an answer for this long, recent
 # changes by operators may be missing from the view.
-CONFIRMED_FOR_S = 1.5
+CONFIRMATION_TTL_S = 1.5
 
 
 class View:
@@ -29,12 +29,12 @@
         self._configuration = Configuration()
         self.zones_out = frozenset()
         self._zone_out_since_s = {}
-        self._has_heard_zones = False
+        self._has_received_zones = False
         self.target_by_life = {}
-        self._lives_by_service = {}
+        self._targets_by_service = {}
         self._keys_by_service = {}
         self._index_by_part = {}
-        self._changed = Pulse()
+        self._change_signal = ChangeSignal()
         self._confirmed_s = float("-inf")
 
     def confirm(self, asked_s):
@@ -47,7 +47,7 @@
 
     def is_confirmed(self, now):
         """Whether the view includes all changes that were accepted until recently."""
-        return now - self._confirmed_s <= CONFIRMED_FOR_S
+        return now - self._confirmed_s <= CONFIRMATION_TTL_S
 
     @property
     def state_index(self):
@@ -84,19 +84,19 @@
     def _(self, message: ConfigurationView):
         if not self._is_newer("configuration", message.index):
             return False
-        return self._configure(message.configuration)
+        return self._apply_configuration(message.configuration)
 
     @take.register
     def _(self, message: ConfigurationChange):
         if not self._is_newer("configuration", message.index):
             return False
-        return self._configure(edited(self._configuration, message.edit))
+        return self._apply_configuration(edited(self._configuration, message.edit))
 
-    def _configure(self, configuration):
+    def _apply_configuration(self, configuration):
         self._configuration = configuration
         if configuration.version:
             self.table = RouteTable(configuration)
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: ZonesView):
@@ -105,13 +105,13 @@
         # If a daemon restarts while its zone is out and counts from when it's notified,
         # its target runs for longer than operators were told. So zones that are out in
         # the first message count as out for an unlimited time already.
-        now = boot_s() if self._has_heard_zones else float("-inf")
-        self._has_heard_zones = True
+        now = boot_s() if self._has_received_zones else float("-inf")
+        self._has_received_zones = True
         self.zones_out = frozenset(message.zones_out)
         self._zone_out_since_s = {
             zone: self._zone_out_since_s.get(zone, now) for zone in self.zones_out
         }
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: KeysView):
@@ -122,7 +122,7 @@
             known = self._keys_by_service[message.service].ranges
             ranges = assigned(known, ranges)
         self._keys_by_service[message.service] = RangeIndex(ranges)
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: TargetsView):
@@ -130,10 +130,10 @@
             self.target_by_life.pop(life, None)
         for target in message.targets:
             self.target_by_life[target.life] = target
-        self._lives_by_service = {}
+        self._targets_by_service = {}
         for target in self.target_by_life.values():
-            self._lives_by_service.setdefault(target.service, []).append(target)
-        return self._wake()
+            self._targets_by_service.setdefault(target.service, []).append(target)
+        return self._notify_changed()
 
     def _is_newer(self, part, index):
         # Messages of a deposed leader may still be in flight, and a daemon would return
@@ -143,13 +143,13 @@
         self._index_by_part[part] = index
         return True
 
-    def _wake(self):
-        self._changed.set()
+    def _notify_changed(self):
+        self._change_signal.notify_all()
         return True
 
     async def changed(self, timeout_s):
         """Wait for the next change, for at most ``timeout_s`` seconds."""
-        await self._changed.wait(timeout_s)
+        await self._change_signal.wait(timeout_s)
 
     # Questions.
 
@@ -177,11 +177,11 @@
         """Return the log index of the owners of a service's keys, -1 if unknown."""
         return self._index_by_part.get(_keys_part(service), -1)
 
-    def choices(self, service):
+    def available_targets(self, service):
         """Return the targets of a service that may get new requests."""
         return [
             target
-            for target in self._lives_by_service.get(service, ())
+            for target in self._targets_by_service.get(service, ())
             if target.phase is TargetPhase.READY and target.zone not in self.zones_out
         ]
 
--- a/tamarackhaven/sidecar/process.py
+++ b/tamarackhaven/sidecar/process.py
@@ -37,7 +37,7 @@
 
 async def _main(path, dialect, registry):
     settings = load_settings(path, DaemonSettings)
-    log, lines = open_log("daemon", settings.name)
+    log, log_lines = open_log("daemon", settings.name)
     metrics = Metrics()
     for codec in (CONTROL_CODEC, PEER_CODEC):
         metrics.add_source(functools.partial(codec.tell, metrics))
@@ -48,12 +48,12 @@
     if settings.metrics:
         await serve_metrics(metrics, *split(settings.metrics))
     background = [
-        asyncio.create_task(keep_flushing(lines)),
+        asyncio.create_task(keep_flushing(log_lines)),
         asyncio.create_task(keep_rereading(path, daemon, log)),
     ]
     await stopped.wait()
     await daemon.stop()
     for task in background:
         task.cancel()
-    lines.flush()
+    log_lines.flush()
     return 0
--- a/tests/sidecar/test_callers.py
+++ b/tests/sidecar/test_callers.py
@@ -22,7 +22,7 @@
 from tamarackhaven.sidecar import CallerRequest
 from tamarackhaven.sidecar._callers import Callers
 from tamarackhaven.sidecar._messages import Answered
-from tamarackhaven.sidecar._view import CONFIRMED_FOR_S, View
+from tamarackhaven.sidecar._view import CONFIRMATION_TTL_S, View
 
 ADDRESS = "10.0.0.1:80"
 SETTINGS = DaemonSettings(
@@ -80,7 +80,7 @@
         return False
 
 
-def ask(view, deadline_ms, *events):
+def send_request(view, deadline_ms, *events):
     """Return the response to a request, and how long it took in seconds.
 
     Each event is (delay in seconds, action).
@@ -107,7 +107,7 @@
     return asyncio.run(main())
 
 
-def tell(view):
+def apply_view(view):
     view.take(TargetsView(1, (Target(LIFE, "i", 1, "s", "a", "h", 1, 4),)))
     view.take(ConfigurationView(1, CONFIGURATION))
 
@@ -116,13 +116,13 @@
     # All daemons were killed and start again. Refused now, a caller that doesn't retry
     # would fail, while the configuration arrives within some tenths of a second.
     view = View()
-    response, took_s = ask(view, 2000.0, (0.2, lambda: tell(view)))
+    response, took_s = send_request(view, 2000.0, (0.2, lambda: apply_view(view)))
     assert response.status == 200
     assert took_s >= 0.2
 
 
-def test_a_request_waits_half_of_its_time_at_most():
-    response, took_s = ask(View(), 400.0)
+def test_a_request_waits_for_a_configuration_for_at_most_half_its_time():
+    response, took_s = send_request(View(), 400.0)
     assert response.headers == ((b"Kind", ErrorKind.STATE_STALE.name.encode()),)
     assert 0.19 <= took_s < 2.0
 
@@ -131,15 +131,15 @@
     ("age_s", "kind"),
     [
         (0.1, ErrorKind.UNKNOWN_SERVICE),
-        (CONFIRMED_FOR_S + 0.5, ErrorKind.STATE_STALE),
+        (CONFIRMATION_TTL_S + 0.5, ErrorKind.STATE_STALE),
     ],
 )
-def test_no_route_is_said_only_by_who_heard_the_leader_of_late(age_s, kind):
+def test_a_path_without_a_route_is_unknown_only_if_the_view_is_confirmed(age_s, kind):
     # A daemon whose link to the leader is congested doesn't have a new route yet. It
     # must not refuse callers with an error after which they don't retry.
     view = View()
     view.take(ConfigurationView(1, Configuration(1, (ServiceSpec("s"),), ())))
     view.confirm(boot_s() - age_s)
-    response, took_s = ask(view, 2000.0)
+    response, took_s = send_request(view, 2000.0)
     assert response.headers == ((b"Kind", kind.name.encode()),)
     assert took_s < 1.0
--- a/tests/sidecar/test_control_link.py
+++ b/tests/sidecar/test_control_link.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tamarackhaven.sidecar._control_link import (
-    UNANSWERED_BUSY_S,
-    UNANSWERED_S,
+    BUSY_REPORT_TIMEOUT_S,
+    REPORT_TIMEOUT_S,
     ControlLink,
 )
 
@@ -22,17 +22,17 @@
 @pytest.fixture
 def control():
     control = ControlLink(None, lambda number: number, None, None, None, None)
-    control._report(Link(0.0), 100.0)
+    control._send_report(Link(0.0), 100.0)
     return control
 
 
-def test_a_silent_leader_is_given_up(control):
+def test_a_silent_leader_is_lost(control):
     link = Link(heard_at_s=99.0)
-    assert not control._is_lost(link, 90.0, 100.0 + UNANSWERED_S - 0.01)
-    assert control._is_lost(link, 90.0, 100.0 + UNANSWERED_S + 0.01)
+    assert not control._is_lost(link, 90.0, 100.0 + REPORT_TIMEOUT_S - 0.01)
+    assert control._is_lost(link, 90.0, 100.0 + REPORT_TIMEOUT_S + 0.01)
 
 
-def test_a_leader_whose_answer_stands_behind_news_is_kept(control):
+def test_a_leader_whose_answer_is_delayed_by_an_update_is_kept(control):
     # An update of hundreds of routes is in flight on a small link, followed by the
     # answer to the report. If the session were closed, the same update would be sent
     # again.
@@ -40,8 +40,8 @@
     assert not control._is_lost(link, 90.0, 101.5)
 
 
-def test_a_leader_that_sends_news_but_no_answer_is_given_up(control):
+def test_a_leader_that_sends_updates_but_no_answer_is_lost(control):
     # A leader that is cut off from its quorum can't confirm a lease, but it still
     # sends updates that follow from the reports of other daemons.
-    late = 100.0 + UNANSWERED_BUSY_S + 0.01
-    assert control._is_lost(Link(heard_at_s=late), 90.0, late)
+    late_s = 100.0 + BUSY_REPORT_TIMEOUT_S + 0.01
+    assert control._is_lost(Link(heard_at_s=late_s), 90.0, late_s)
--- a/tests/sidecar/test_control_link_search.py
+++ b/tests/sidecar/test_control_link_search.py
@@ -15,13 +15,13 @@
 )
 from tamarackhaven.fleet._model import GrantId
 from tamarackhaven.net import LinkServer
-from tamarackhaven.sidecar._control_link import REPORT_S, ControlLink
+from tamarackhaven.sidecar._control_link import REPORT_INTERVAL_S, ControlLink
 
 HOSTS = ("127.77.0.1", "127.77.0.2")
-LOOKS_ON_S = 1.2
+OBSERVATION_S = 1.2
 
 
-class Silent:
+class Log:
     def say(self, sentence, **fields):
         pass
 
@@ -71,7 +71,7 @@
             self.taken.append,
             lambda grant, asked_s: None,
             lambda: seeds,
-            Silent(),
+            Log(),
         )
         self._task = asyncio.create_task(self.control.run())
 
@@ -94,43 +94,43 @@
     asyncio.run(main())
 
 
-def test_a_spare_link_to_a_second_leader_does_not_make_reports_follow_without_a_pause():
+def test_closing_the_link_to_a_second_leader_does_not_trigger_reports():
     # Otherwise reports follow each other without a pause: the daemon uses a whole
     # processor and overloads the leader.
     async def test(fleet):
-        await asyncio.sleep(LOOKS_ON_S)
+        await asyncio.sleep(OBSERVATION_S)
         assert len([vm for vm in fleet.vms if vm.links]) == 2
-        assert 1 <= fleet.reports <= 2 + LOOKS_ON_S / REPORT_S
+        assert 1 <= fleet.reports <= 2 + OBSERVATION_S / REPORT_INTERVAL_S
 
     run(test)
 
 
-def test_news_of_a_second_leader_are_not_taken_as_the_leaders():
+def test_updates_of_a_second_leader_are_ignored():
     # What a deposed leader sends right after its hint must not count as an update of
     # the present leader.
     async def test(fleet):
-        await asyncio.sleep(LOOKS_ON_S)
+        await asyncio.sleep(OBSERVATION_S)
         (in_use,) = [vm for vm in fleet.vms if vm.reports]
         assert fleet.taken == [ZonesView(1, (in_use.host,))]
 
     run(test)
 
 
-@pytest.mark.parametrize("kicks", [1, 50])
-def test_urgent_reports_are_sent_at_once_and_together(kicks):
+@pytest.mark.parametrize("count", [1, 50])
+def test_requested_reports_are_sent_at_once_and_coalesced(count):
     async def test(fleet):
-        await asyncio.sleep(REPORT_S / 2)
+        await asyncio.sleep(REPORT_INTERVAL_S / 2)
         before = fleet.reports
-        for _ in range(kicks):
-            fleet.control.kick()
-        await asyncio.sleep(REPORT_S / 4)
+        for _ in range(count):
+            fleet.control.report_now()
+        await asyncio.sleep(REPORT_INTERVAL_S / 4)
         assert fleet.reports == before + 1
 
     run(test)
 
 
-SLOW_HOSTS = ("127.77.1.1",)
-BEHIND = "127.77.1.2"
+PROXY_HOSTS = ("127.77.1.1",)
+CONTROL_HOST = "127.77.1.2"
 DELAY_S = 0.6
 
 
@@ -138,11 +138,11 @@
     """One control VM, and a link to it with a configurable delay."""
 
     async def __aenter__(self):
-        self.vms = [ControlVm(BEHIND)]
+        self.vms = [ControlVm(CONTROL_HOST)]
         port = await self.vms[0].start(0)
-        self.proxy = Proxy((SLOW_HOSTS[0], port), (BEHIND, port))
+        self.proxy = Proxy((PROXY_HOSTS[0], port), (CONTROL_HOST, port))
         await self.proxy.start()
-        self._start([(SLOW_HOSTS[0], port)])
+        self._start([(PROXY_HOSTS[0], port)])
         return self
 
     async def __aexit__(self, *error):
@@ -164,7 +164,7 @@
             await asyncio.sleep(0.05)
 
 
-def test_a_leader_is_found_over_a_link_that_is_full():
+def test_a_leader_is_found_over_a_congested_link():
     # If each query timed out before its answer, the daemon would use an old
     # configuration for as long as the link is congested.
     async def test(fleet):
@@ -174,7 +174,7 @@
     run_slow(test)
 
 
-def test_a_session_whose_link_fills_up_goes_on_with_what_was_on_its_way():
+def test_a_session_on_a_congested_link_continues_with_updates_in_flight():
     # If the link were closed, a configuration in flight would be lost with it, and the
     # search couldn't end while links are congested.
     async def test(fleet):
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -35,7 +35,7 @@
     heartbeat: object = None
     heard_s: float = 0.0
 
-    def takes_new(self, is_sharded, now):
+    def accepts_new(self, is_sharded, now):
         return True
 
     def is_cold(self, now):
@@ -58,7 +58,7 @@
         return Verdict.ANSWERED
 
 
-class TargetStandIn:
+class FakeTarget:
     """Fake target that answers at once and records the sizes of received bodies."""
 
     def __init__(self):
@@ -80,7 +80,7 @@
         inbound = Inbound(
             SETTINGS, State(), View(), Dialect(), "127.0.0.1", 1, Log(), Metrics()
         )
-        inbound.client = self.target = TargetStandIn()
+        inbound.client = self.target = FakeTarget()
         inbound._gate.slots = 6
         server = PeerServer("one", Runs(inbound), inbound.intake)
         self._links = LinkServer(PEER_CODEC, server.on_message, server.on_closed)
@@ -100,10 +100,10 @@
         """Return the result of a request, and how long it took in seconds."""
         forward = attrs.evolve(FORWARD, number=number, body=body, is_safe=not body)
         now = boot_s()
-        end = await peers.run(
+        result = await peers.run(
             self._proxy.address, forward, now + DEADLINE_S, now + objective_s
         )
-        return end, boot_s() - now
+        return result, boot_s() - now
 
     def close(self):
         for peers in self._peers:
@@ -142,8 +142,10 @@
         took_s = []
         for number in range(1, 20):
             await asyncio.sleep(0.05)
-            end, seconds = await vm.send(caller, number, objective_s=CALL_OBJECTIVE_S)
-            assert isinstance(end, Answered)
+            result, seconds = await vm.send(
+                caller, number, objective_s=CALL_OBJECTIVE_S
+            )
+            assert isinstance(result, Answered)
             took_s.append(seconds)
         await uploads
         return took_s
@@ -151,19 +153,23 @@
     assert max(run(test)) < CALL_OBJECTIVE_S
 
 
-def test_a_body_that_can_not_arrive_in_time_is_refused_before_it_crosses():
+def test_a_body_that_cannot_arrive_in_time_is_refused_before_it_is_sent():
     # If more bodies than a link can carry were all sent, each would arrive later than
     # the one before; all would be late, and none would be refused with a retry time.
     async def test(vm):
         return await upload(vm, 40), vm.target.body_bytes, vm.link.carried_bytes
 
-    ends, target_bytes, carried_bytes = run(test)
-    answered_s = [seconds for end, seconds in ends if isinstance(end, Answered)]
-    refused_s = [seconds for end, seconds in ends if isinstance(end, NotRun)]
+    results, target_bytes, carried_bytes = run(test)
+    answered_s = [
+        seconds for result, seconds in results if isinstance(result, Answered)
+    ]
+    refused_s = [seconds for result, seconds in results if isinstance(result, NotRun)]
     assert len(answered_s) + len(refused_s) == 40
     assert max(answered_s) < OBJECTIVE_S
     assert max(refused_s) < REFUSED_WITHIN_S
-    assert all(end.retry_after_s > 0 for end, _ in ends if isinstance(end, NotRun))
+    assert all(
+        result.retry_after_s > 0 for result, _ in results if isinstance(result, NotRun)
+    )
     assert target_bytes.count(BODY_BYTES) == len(answered_s)
     # Besides the bodies of answered requests, there are announcements and short calls.
     assert carried_bytes < (len(answered_s) + 1) * BODY_BYTES
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -18,7 +18,7 @@
     NotRun,
     WaitQuery,
 )
-from tamarackhaven.sidecar._peers import MOST_WHOLE_BYTES, Peers, PeerServer
+from tamarackhaven.sidecar._peers import MAX_INLINE_BODY_BYTES, Peers, PeerServer
 from tamarackhaven.sidecar._runs import Runs
 
 FORWARD = Forward(
@@ -46,14 +46,14 @@
     def __init__(self):
         self.intake = Intake(Gate(6, lambda: 0.0), Metrics())
         self.bodies = []
-        self.asks_for_bodies = True
+        self.receives_bodies = True
         self.ran = []
         self.cancelled = []
         self.may_end = asyncio.Event()
         self.is_sent = True
 
     async def run(self, forward, incoming=None):
-        if incoming is not None and self.asks_for_bodies:
+        if incoming is not None and self.receives_bodies:
             now = boot_s()
             offer = Offer(forward.number, "r", 1, now + 1.0, now + 2.0)
             self.bodies.append(await self.intake.bring(incoming, offer))
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("is_safe", [True, False])
-def test_a_broken_link_neither_loses_nor_doubles_a_request(is_safe):
+def test_a_request_runs_once_and_is_answered_after_its_link_breaks(is_safe):
     # The link between two daemons breaks while the target works. The caller's daemon
     # reconnects and sends the same number again. A second run would double a booking;
     # failing the request would lose its answer.
@@ -147,7 +147,7 @@
 LARGE_BODY = bytes(range(256)) * 400
 
 
-def test_a_large_body_comes_whole_and_only_as_it_is_asked_for():
+def test_a_large_body_arrives_complete_and_only_on_request():
     # A body sent at once would fill the small link of a VM for seconds, and short calls
     # would queue behind it until the work that they belong to misses its deadline.
     async def test(pair):
@@ -157,32 +157,32 @@
         assert large.body == b"done"
         assert pair.target.bodies == [LARGE_BODY]
         assert pair.target.ran == [1, 2]
-        pair.target.asks_for_bodies = False
+        pair.target.receives_bodies = False
         sent_bytes = PEER_CODEC.sent_bytes()
         await pair.forward(number=3, body=LARGE_BODY)
-        assert PEER_CODEC.sent_bytes() - sent_bytes < MOST_WHOLE_BYTES
+        assert PEER_CODEC.sent_bytes() - sent_bytes < MAX_INLINE_BODY_BYTES
 
     run(test)
 
 
-def test_a_body_whose_link_breaks_halfway_comes_whole_and_once():
+def test_a_body_arrives_complete_and_runs_once_after_its_link_breaks_halfway():
     # The parts in flight are lost with the link. The body must not be assembled with a
     # gap, and the request must not run twice.
     async def test(pair):
         pair.target.may_end.set()
         waiting = pair.forward(is_safe=False, body=LARGE_BODY)
-        took = pair.target.intake.take
+        real_take = pair.target.intake.take
 
         def take(body, offset, data):
-            took(body, offset, data)
-            if offset and not broken:
-                broken.append(offset)
+            real_take(body, offset, data)
+            if offset and not broken_offsets:
+                broken_offsets.append(offset)
                 pair.break_links()
 
-        broken = []
+        broken_offsets = []
         pair.target.intake.take = take
         assert isinstance(await waiting, Answered)
-        assert broken
+        assert broken_offsets
         assert pair.target.bodies == [LARGE_BODY]
         assert pair.target.ran == [1]
 
@@ -190,11 +190,11 @@
 
 
 @pytest.mark.parametrize("body", [LARGE_BODY, b""])
-def test_what_never_left_whole_has_not_run(body):
+def test_a_request_whose_body_was_not_sent_completely_has_not_run(body):
     # A daemon is lost before it has requested a booking's body. If the result were that
     # the booking may have run, the caller couldn't retry it.
     async def test(pair):
-        pair.target.asks_for_bodies = False
+        pair.target.receives_bodies = False
         waiting = pair.forward(is_safe=False, body=body)
         await pair.until(lambda: pair.target.ran)
         pair.links.close()
@@ -204,7 +204,7 @@
     run(test)
 
 
-def test_an_answer_that_does_not_come_in_time_is_not_waited_for():
+def test_a_request_without_an_answer_fails_and_is_cancelled_at_its_deadline():
     async def test(pair):
         now = boot_s()
         end = await pair.peers.run(pair.address, FORWARD, now + 0.2, now + 0.1)
@@ -215,12 +215,12 @@
     run(test)
 
 
-def test_a_caller_that_leaves_ends_the_arrival_of_its_body():
+def test_a_cancelled_request_stops_the_transfer_of_its_body():
     async def test(pair):
-        gate = asyncio.Event()
-        pair.target.intake.take = lambda *_: gate.set()
+        part_received = asyncio.Event()
+        pair.target.intake.take = lambda *_: part_received.set()
         waiting = pair.forward(body=LARGE_BODY)
-        await gate.wait()
+        await part_received.wait()
         assert pair.target.intake.left_bytes
         waiting.cancel()
         await pair.until(lambda: not pair.target.intake.left_bytes)
@@ -228,7 +228,7 @@
     run(test)
 
 
-def test_what_a_restarted_daemon_had_is_lost_and_not_run_again():
+def test_requests_of_a_daemon_that_restarts_are_lost_and_not_run_again():
     async def test(pair):
         waiting = pair.forward(is_safe=False)
         await pair.until(lambda: pair.target.ran)
@@ -240,7 +240,7 @@
     run(test)
 
 
-def test_a_daemon_that_is_not_there_has_not_run_it():
+def test_a_request_to_an_unreachable_daemon_has_not_run():
     async def test(pair):
         pair.links.close()
         end = await pair.forward()
@@ -249,7 +249,7 @@
     run(test)
 
 
-def test_a_caller_that_leaves_stops_a_safe_request():
+def test_a_safe_request_is_cancelled_when_its_caller_disconnects():
     async def test(pair):
         waiting = pair.forward()
         await pair.until(lambda: pair.target.ran)
@@ -259,7 +259,7 @@
     run(test)
 
 
-def test_an_unsafe_request_at_its_target_goes_on_without_its_caller():
+def test_an_unsafe_request_at_its_target_continues_after_its_caller_disconnects():
     async def test(pair):
         waiting = pair.forward(is_safe=False)
         await pair.until(lambda: pair.target.ran)
@@ -270,7 +270,7 @@
     run(test)
 
 
-def test_an_unsafe_request_that_only_waits_is_withdrawn():
+def test_a_waiting_unsafe_request_is_cancelled_when_its_caller_disconnects():
     async def test(pair):
         pair.target.is_sent = False
         waiting = pair.forward(is_safe=False)
@@ -281,7 +281,7 @@
     run(test)
 
 
-def test_a_daemon_that_left_and_came_back_is_asked_again():
+def test_a_daemon_no_longer_counts_as_leaving_after_its_link_has_closed():
     # In a rolling restart each daemon announces to the others that it leaves. If they
     # kept the mark, no target would be left once all daemons had been restarted.
     async def test(pair):
@@ -295,7 +295,7 @@
     run(test)
 
 
-def test_a_daemon_that_stopped_in_order_counts_as_restarting_until_it_is_back():
+def test_a_daemon_that_stopped_in_order_is_restarting_until_it_is_back():
     # Callers for its target's keys wait longer for it than for a lost daemon, since
     # it's back within about a second.
     async def test(pair):
@@ -315,7 +315,7 @@
     run(test)
 
 
-def test_a_daemon_that_is_lost_does_not_count_as_restarting():
+def test_a_lost_daemon_does_not_count_as_restarting():
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
@@ -326,31 +326,31 @@
     run(test)
 
 
-def test_two_questions_at_once_get_their_own_answers():
+def test_concurrent_wait_queries_get_their_own_replies():
     # Two lives of a target at one address are both known for a moment, and both are
     # queried on the same link at the same time.
     async def test(pair):
         pair.target.may_end.set()
         await pair.forward()
-        asked = [WaitQuery(0, "r", 1, left_ms) for left_ms in (100.0, 200.0)]
+        queries = [WaitQuery(0, "r", 1, left_ms) for left_ms in (100.0, 200.0)]
         waits = await asyncio.gather(
-            *(pair.peers.ask(pair.address, query) for query in asked)
+            *(pair.peers.query_wait(pair.address, query) for query in queries)
         )
         assert waits == [0.1, 0.2]
 
     run(test)
 
 
-def test_without_a_link_no_wait_is_known():
+def test_the_expected_wait_is_unknown_without_a_link():
     async def test(pair):
         query = WaitQuery(0, "r", 1, 100.0)
-        assert await pair.peers.ask(pair.address, query) is None
+        assert await pair.peers.query_wait(pair.address, query) is None
 
     run(test)
 
 
 @pytest.mark.parametrize("is_safe", [True, False])
-def test_a_request_that_was_given_up_with_its_link_is_answered_when_asked_again(
+def test_a_request_cancelled_after_its_link_broke_gets_a_result_when_sent_again(
     is_safe,
 ):
     # A link is down for longer than its requests are kept. If they got no result when
@@ -362,7 +362,7 @@
         for link in pair.links.links:
             boot = pair.server._boot_by_link.pop(link)
             del pair.server._link_by_boot[boot]
-            pair.server._give_up(boot)
+            pair.server._cancel_abandoned(boot)
         await pair.until(lambda: pair.target.cancelled)
         pair.break_links()
         began_s = boot_s()
@@ -374,15 +374,15 @@
     run(test)
 
 
-def test_a_daemon_that_dies_gives_its_place_on_the_link_back_within_a_second():
+def test_bodies_of_a_lost_daemon_stop_counting_as_in_flight_within_a_second():
     # If bytes that will never arrive still counted as in flight, the bodies of running
     # daemons would wait for them.
     async def test(pair):
-        asked = asyncio.Event()
+        part_received = asyncio.Event()
         pair.target.is_sent = False
-        pair.target.intake.take = lambda *_: asked.set()
+        pair.target.intake.take = lambda *_: part_received.set()
         waiting = pair.forward(is_safe=False, body=LARGE_BODY)
-        await asked.wait()
+        await part_received.wait()
         began_s = boot_s()
         pair.peers.close()
         await pair.until(lambda: not pair.target.intake.left_bytes)
--- a/tests/sidecar/test_slow_log.py
+++ b/tests/sidecar/test_slow_log.py
@@ -9,11 +9,11 @@
 from tests.sidecar.held_by_heartbeats import SlowLogWorld
 
 SEEDS = 12
-SEARCHED = 100
+MAX_SEARCHED_SEEDS = 100
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_no_key_has_two_holders_however_late_a_change_is_committed(seed):
+def test_no_key_has_two_holders_with_late_commits(seed):
     SlowLogWorld(seed).run(60.0)
 
 
@@ -26,26 +26,28 @@
     assert world.served() == 1.0
 
 
-def grant_what_is_open(monkeypatch):
+def grant_keys_with_open_changes(monkeypatch):
     monkeypatch.setattr(OpenChanges, "without", lambda self, owned, *_rest: owned)
 
 
-def forget_former_leaders(monkeypatch):
+def ignore_leases_of_former_leaders(monkeypatch):
     def begin(self, lease_s, elected_s):
-        real(self, lease_s, elected_s)
+        real_init(self, lease_s, elected_s)
         self._inherited_until_s = elected_s
 
-    real = LeaseBook.__init__
+    real_init = LeaseBook.__init__
     monkeypatch.setattr(_leases.LeaseBook, "__init__", begin)
 
 
-@pytest.mark.parametrize("weaken", [grant_what_is_open, forget_former_leaders])
-def test_the_search_finds_each_missing_safeguard(weaken, monkeypatch):
-    weaken(monkeypatch)
+@pytest.mark.parametrize(
+    "remove_safeguard", [grant_keys_with_open_changes, ignore_leases_of_former_leaders]
+)
+def test_the_simulation_detects_each_missing_safeguard(remove_safeguard, monkeypatch):
+    remove_safeguard(monkeypatch)
 
-    def run_all():
-        for seed in range(SEARCHED):
+    def run_seeds():
+        for seed in range(MAX_SEARCHED_SEEDS):
             SlowLogWorld(seed).run(60.0)
 
     with pytest.raises(TwoHoldersError):
-        run_all()
+        run_seeds()
--- a/tests/sidecar/test_target_state.py
+++ b/tests/sidecar/test_target_state.py
@@ -47,11 +47,11 @@
     return state
 
 
-def test_without_a_lease_nothing_is_said_about_keys(state):
+def test_a_heartbeat_reply_names_no_keys_without_a_lease(state):
     assert state.take(beat(2), 11.0).ranges is None
 
 
-def test_a_hold_ends_before_the_lease_even_by_the_slowest_clock(state):
+def test_a_hold_expires_before_the_lease_even_on_the_slowest_clock(state):
     # The control group reassigns the keys when the lease expires. A target whose clock
     # is slow holds them for longer than it was told; if that were longer than the
     # lease, both targets would run requests for them.
@@ -60,13 +60,13 @@
     assert 11.5 + reply.hold_s / SLOWEST_CLOCK < 14.0
 
 
-def test_a_lease_that_has_run_out_renews_nothing(state):
+def test_an_expired_lease_renews_no_holds(state):
     state.take_grant(grant(state), asked_s=10.0)
     assert state.take(beat(2), 14.0).ranges is None
     assert not state.holds(5, 14.0)
 
 
-def test_an_older_grant_never_replaces_a_newer_one(state):
+def test_an_older_grant_does_not_replace_a_newer_one(state):
     # A deposed leader's grant was delayed. If it were applied, it would grant keys
     # again that the target has released since.
     state.take_grant(grant(state, 5, ranges=(), term=2), asked_s=10.0)
@@ -74,7 +74,7 @@
     assert state.take(beat(2), 11.0).ranges == ()
 
 
-def test_a_grant_for_another_life_is_not_passed_on(state):
+def test_a_grant_to_another_life_is_not_passed_to_the_target(state):
     state.take_grant(grant(state), asked_s=10.0)
     reply = state.take(beat(1, born_ms=2), 11.0)
     assert reply.ranges is None
@@ -82,43 +82,43 @@
 
 
 @pytest.mark.parametrize(
-    "late",
+    "delayed",
     [beat(1), beat(9, born_ms=0), beat(9, born_ms=0, name="other")],
     ids=["older sequence", "earlier life", "earlier life of another name"],
 )
-def test_a_heartbeat_that_comes_late_changes_nothing(state, late):
+def test_a_delayed_heartbeat_is_ignored(state, delayed):
     state.take(beat(3), 11.0)
-    late = attrs.evolve(late, phase=TargetPhase.DRAINING)
-    assert state.take(late, 12.0).ranges is None
+    delayed = attrs.evolve(delayed, phase=TargetPhase.DRAINING)
+    assert state.take(delayed, 12.0).ranges is None
     assert state.heartbeat == beat(3)
-    assert state.takes_new(False, 12.0)
+    assert state.accepts_new(False, 12.0)
 
 
-def test_a_draining_target_gets_nothing_that_can_go_elsewhere(state):
+def test_a_draining_target_gets_no_requests_that_other_targets_can_run(state):
     state.take(beat(2, phase=TargetPhase.DRAINING), 11.0)
-    assert not state.takes_new(False, 11.0)
+    assert not state.accepts_new(False, 11.0)
     assert state.target(11.0).phase is TargetPhase.DRAINING
 
 
-def test_a_draining_owner_serves_its_keys_while_they_move_but_not_too_long(state):
+def test_a_draining_owner_serves_its_keys_only_within_the_drain_time(state):
     state.take(beat(2, phase=TargetPhase.DRAINING), 11.0)
-    assert state.takes_new(True, 12.0)
-    assert not state.takes_new(True, 11.0 + SETTINGS.drain_s)
+    assert state.accepts_new(True, 12.0)
+    assert not state.accepts_new(True, 11.0 + SETTINGS.drain_s)
 
 
-def test_a_goodbye_counts_like_draining(state):
+def test_a_target_that_announced_that_it_leaves_is_draining(state):
     state.leave("someone else", 11.0)
-    assert state.takes_new(False, 11.0)
+    assert state.accepts_new(False, 11.0)
     state.leave("i", 11.0)
-    assert not state.takes_new(False, 11.0)
+    assert not state.accepts_new(False, 11.0)
 
 
-def test_a_silent_target_is_reported_as_leaving(state):
+def test_a_silent_target_is_reported_as_draining(state):
     assert state.target(12.0).phase is TargetPhase.READY
     assert state.target(15.0).phase is TargetPhase.DRAINING
 
 
-def test_the_settled_grant_is_the_one_told_before_the_newest_heartbeat(state):
+def test_the_settled_grant_is_the_newest_one_that_a_heartbeat_followed(state):
     state.take_grant(grant(state, 1), asked_s=10.0)
     state.take(beat(2), 10.5)
     assert state.settled == GrantId()
@@ -129,7 +129,7 @@
     assert state.settled == GrantId(1, 2)
 
 
-def test_a_restarted_daemon_knows_no_lease_until_it_has_asked(state):
+def test_a_restarted_daemon_grants_no_keys_before_its_own_lease(state):
     # The daemon restarts while its target continues to run. The holds that the target
     # reports don't prove that it may still hold them.
     restarted = TargetState(SETTINGS, "10.0.0.1", 7000)
