--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -208,7 +208,7 @@
             return TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, path)
         return TamarackhavenError(
             ErrorKind.STATE_STALE,
-            f"no route to {path}, and no word from the leader of late",
+            f"no route to {path}, and the leader has not answered recently",
             UNKNOWN_STATE_RETRY_S,
         )
 
@@ -233,7 +233,7 @@
             if boot_s() >= wait_until_s:
                 raise TamarackhavenError(
                     ErrorKind.STATE_STALE,
-                    "no configuration is known yet",
+                    "no configuration received yet",
                     UNKNOWN_STATE_RETRY_S,
                 )
             await self._view.changed(wait_until_s - boot_s())
@@ -348,7 +348,7 @@
             elif boot_s() > wait_until_s:
                 raise TamarackhavenError(
                     ErrorKind.NO_OWNER,
-                    f"no target of {pending.spec.name} takes requests",
+                    f"no target of {pending.spec.name} accepts requests",
                     OWNER_RETRY_S,
                 )
             else:
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -78,7 +78,7 @@
         TypeError
             If it's a message of another type.
         """
-        raise TypeError(f"no part of the view: {type(message).__name__}")
+        raise TypeError(f"not a message about the view: {type(message).__name__}")
 
     @take.register
     def _(self, message: ConfigurationView):
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -100,7 +100,7 @@
             if condition():
                 return
             await asyncio.sleep(0.005)
-        raise AssertionError("did not come")
+        raise AssertionError("condition not met within 2 s")
 
     def break_links(self):
         for link in self.links.links:
