--- a/tamarackhaven/sidecar/_control_link.py
+++ b/tamarackhaven/sidecar/_control_link.py
@@ -46,10 +46,10 @@
         that it has.
     make_report : callable
         ``make_report(number)`` returns a ``Report``.
-    take : callable
-        ``take(message)`` is called with each message about the view.
-    take_grant : callable
-        ``take_grant(grant, asked_s)`` is called with each ``LeaseGrant`` and with when
+    on_view_message : callable
+        ``on_view_message(message)`` is called with each message about the view.
+    on_grant : callable
+        ``on_grant(grant, asked_s)`` is called with each ``LeaseGrant`` and with when
         its report was sent, in seconds of the boot clock.
     seeds : callable
         Returns the control addresses of the current settings, as (host, port).
@@ -57,11 +57,11 @@
         Log of the part ``control``.
     """
 
-    def __init__(self, make_hello, make_report, take, take_grant, seeds, log):
+    def __init__(self, make_hello, make_report, on_view_message, on_grant, seeds, log):
         self._make_hello = make_hello
         self._make_report = make_report
-        self._on_view_message = take
-        self._on_grant = take_grant
+        self._on_view_message = on_view_message
+        self._on_grant = on_grant
         self._seeds = seeds
         self._log = log
         self._known_addresses = HeardAddresses()
--- a/tamarackhaven/sidecar/_peers.py
+++ b/tamarackhaven/sidecar/_peers.py
@@ -67,7 +67,7 @@
         the boot clock.
     future : asyncio.Future
         Gets its ``Answered``, ``NotRun`` or ``Lost``.
-    is_known : bool
+    has_been_sent : bool
         Whether the other daemon may have received it, or its announcement.
     is_sent_whole : bool
         Whether the other daemon may have received all of it, so that it may have run.
@@ -77,7 +77,7 @@
     deadline_s: float
     objective_s: float
     future: asyncio.Future
-    is_known: bool = False
+    has_been_sent: bool = False
     is_sent_whole: bool = False
 
     @property
@@ -95,25 +95,25 @@
             left |= {"body": b"", "body_bytes": len(self.forward.body)}
         return attrs.evolve(self.forward, **left)
 
-    def part(self, ask):
+    def part(self, body_ask):
         """Return the ``BodyPart`` that a ``BodyAsk`` requests."""
-        data = self.forward.body[ask.offset : ask.offset + ask.count]
-        return BodyPart(ask.number, ask.offset, data)
+        data = self.forward.body[body_ask.offset : body_ask.offset + body_ask.count]
+        return BodyPart(body_ask.number, body_ask.offset, data)
 
     def send(self, link):
         """Send the forward, without its body if that is announced."""
         if not link.send(self.with_time_left(boot_s())):
             return
-        self.is_known = True
+        self.has_been_sent = True
         if not self.is_announced:
             self.is_sent_whole = True
 
-    def send_part(self, ask, link):
+    def send_part(self, body_ask, link):
         """Send the part of the body that a ``BodyAsk`` requests."""
         # The request may run once the last byte has been sent.
-        if ask.offset + ask.count >= len(self.forward.body):
+        if body_ask.offset + body_ask.count >= len(self.forward.body):
             self.is_sent_whole = True
-        link.send(self.part(ask))
+        link.send(self.part(body_ask))
 
     def fail(self, kind):
         """End it as ``Lost`` with ``kind`` if it may have run, else as ``NotRun``."""
@@ -173,7 +173,7 @@
             del self._open_by_number[forward.number]
 
     def _cancel(self, entry):
-        if entry.is_known and self._link is not None:
+        if entry.has_been_sent and self._link is not None:
             self._link.send(Cancel(entry.forward.number))
 
     async def query_wait(self, query):
@@ -241,7 +241,11 @@
         self._link.send(PeerHello(self._boot))
 
     def _fail_waiting(self, can_keep_unsafe):
-        """Fail the forwards; ``can_keep_unsafe`` exempts unsafe ones that may run."""
+        """Fail all forwards.
+
+        With ``can_keep_unsafe``, unsafe ones that may be running are kept until their
+        deadline, since an answer may still arrive.
+        """
         for entry in tuple(self._open_by_number.values()):
             is_running = entry.is_sent_whole and not entry.forward.is_safe
             if can_keep_unsafe and is_running and boot_s() < entry.deadline_s:
--- a/tamarackhaven/sidecar/_target_client.py
+++ b/tamarackhaven/sidecar/_target_client.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SendResult:
     """Result of sending a request.
 
     Parameters
@@ -82,28 +82,31 @@
         self.opened_count = 0
 
     async def send(self, method, target, headers, body, is_reply):
-        """Send a request; return ``Sent``. Cancelling it closes its connection."""
+        """Send a request; return a ``SendResult``.
+
+        Cancelling it closes its connection.
+        """
         request = method, target, headers, body, is_reply
         return await self._send(request, ANY_TIME)
 
     async def send_to_life(self, method, target, headers, body, heard_s):
-        """Send a call to the life whose heartbeat came at ``heard_s``; return ``Sent``.
+        """Send a call to the life whose heartbeat was received at ``heard_s``.
 
         If a target crashes, its next life may listen on the same address before its
         first heartbeat, and would be told to hold keys with the fence of the former
         life. So the call is sent only on a connection that was open when the heartbeat
-        was received, or was opened right after it; a connection to a former life
-        is closed by then. ``heard_s`` is in seconds of the boot clock.
+        was received, or was opened right after it; a connection to a former life is
+        closed by then. ``heard_s`` is in seconds of the boot clock.
 
-        The result is NOT_SENT also if there is no such connection before the next
-        heartbeat.
+        Return a ``SendResult``. It's NOT_SENT also if there is no such connection
+        before the next heartbeat.
         """
         opened_by_s = heard_s + MIN_RESTART_S
         request = method, target, headers, body, any_reply
         try:
             return await self._send(request, opened_by_s)
         except _NoConnectionToLifeError:
-            return Sent(SendEnd.NOT_SENT, None, "no connection to this life")
+            return SendResult(SendEnd.NOT_SENT, None, "no connection to this life")
 
     async def _send(self, request, opened_by_s):
         for _ in range(2):
@@ -114,21 +117,23 @@
                 try:
                     connection = await self._open()
                 except ConnectionRefusedError as error:
-                    return Sent(SendEnd.NOT_SENT, None, repr(error), is_refused=True)
+                    return SendResult(
+                        SendEnd.NOT_SENT, None, repr(error), is_refused=True
+                    )
                 except OSError as error:
-                    return Sent(SendEnd.NOT_SENT, None, repr(error))
+                    return SendResult(SendEnd.NOT_SENT, None, repr(error))
             self._used_count += 1
             try:
                 reply = await connection.request(*request)
             except RequestNotSentError:
                 continue
             except RequestUnansweredError as error:
-                return Sent(SendEnd.UNANSWERED, None, str(error))
+                return SendResult(SendEnd.UNANSWERED, None, str(error))
             finally:
                 self._used_count -= 1
             self._return_to_idle(connection)
-            return Sent(SendEnd.REPLIED, reply)
-        return Sent(SendEnd.NOT_SENT, None, "closed while idle")
+            return SendResult(SendEnd.REPLIED, reply)
+        return SendResult(SendEnd.NOT_SENT, None, "closed while idle")
 
     async def _open(self):
         self.opened_count += 1
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -13,7 +13,7 @@
 from tamarackhaven.sidecar._messages import PEER_CODEC, Answered, NotRun
 from tamarackhaven.sidecar._peers import Peers, PeerServer
 from tamarackhaven.sidecar._runs import Runs
-from tamarackhaven.sidecar._target_client import SendEnd, Sent
+from tamarackhaven.sidecar._target_client import SendEnd, SendResult
 from tests.sidecar.test_callers import SETTINGS, Log
 from tests.sidecar.test_peers import FORWARD
 
@@ -66,7 +66,7 @@
 
     async def send(self, method, target, headers, body, is_reply):
         self.body_bytes.append(len(body))
-        return Sent(SendEnd.REPLIED, Reply(200, (), b"done"))
+        return SendResult(SendEnd.REPLIED, Reply(200, (), b"done"))
 
     def close(self):
         pass
