--- a/tamarackhaven/sidecar/_messages.py
+++ b/tamarackhaven/sidecar/_messages.py
@@ -43,7 +43,7 @@
         0 is the most urgent.
     left_ms, objective_ms : float
         Time left when it was sent, until its deadline and until its answer is no longer
-        in time, in milliseconds. The latter may be negative.
+        in time, in milliseconds. The latter may be below 0.
     waits : bool
         Whether it may wait at the gate. If not and the target is busy, ``NotRun`` gives
         the expected wait.
