--- a/tamarackhaven/sidecar/_target_client.py
+++ b/tamarackhaven/sidecar/_target_client.py
@@ -1,4 +1,4 @@
-"""Sends requests to the target over kept connections."""
+"""Sends requests to the target over persistent connections."""
 
 import enum
 
@@ -12,40 +12,52 @@
     RequestUnansweredError,
 )
 
-# The target is on the same VM: a connection takes about a millisecond, and a target
-# that is choked a little longer.
+# The target is on the same VM, where connecting takes about a millisecond, and a little
+# longer to an overloaded target.
 OPEN_TIMEOUT_S = 0.5
-# A connection is not reused in the last part of the time that the target keeps it: a
-# request that crosses its close may have run or not.
-KEEP_MARGIN_S = 1.0
-KEEP_MARGIN_PART = 0.25
-# What is kept where the target doesn't say.
-KEEP_DEFAULT_S = 3.0
-# A target that crashes right after a heartbeat isn't started again within this time.
-SAME_LIFE_S = 0.1
+# A connection isn't reused shortly before the target's idle timeout: a request that is
+# sent while the target closes the connection may or may not have run.
+MAX_IDLE_MARGIN_S = 1.0
+IDLE_MARGIN_FRACTION = 0.25
+# Idle timeout assumed if the target doesn't name one.
+DEFAULT_IDLE_TIMEOUT_S = 3.0
+# A target that crashes right after a heartbeat can't be running again within this time.
+MIN_RESTART_S = 0.1
 ANY_TIME = float("inf")
 
 
-class _NoneOpenedByError(Exception):
-    """No connection is old enough, and a new one would not be."""
+class _NoConnectionToLifeError(Exception):
+    """No idle connection is old enough for the life, and it's too late to open one."""
 
 
 def any_reply(_reply):
-    """Take whatever comes as the answer."""
+    """Accept any reply as the answer."""
     return True
 
 
 class SendEnd(enum.Enum):
-    """How a send ended."""
+    """Outcome of sending a request."""
 
     REPLIED = "replied"
-    NOT_SENT = "not sent"  # nothing listened, or the connection was closed before
+    NOT_SENT = "not sent"  # nothing listened, or the connection was closed before it
     UNANSWERED = "unanswered"  # it may have run
 
 
 @attrs.frozen
-class Sent:
-    """What became of a send; ``reply`` only with REPLIED."""
+class SendResult:
+    """Result of sending a request.
+
+    Parameters
+    ----------
+    end : SendEnd
+        Outcome.
+    reply : Reply or None
+        Set only with REPLIED.
+    detail : str
+        The error, if there was one.
+    is_refused : bool
+        Whether the target refused the connection.
+    """
 
     end: SendEnd
     reply: Reply | None = None
@@ -54,91 +66,103 @@
 
 
 class TargetClient:
-    """The connections to one target; the newest used is used first.
+    """Pool of connections to one target; the one used last is reused first.
 
     Parameters
     ----------
     host, port : str, int
-        Of the target.
+        Address of the target.
     """
 
     def __init__(self, host, port):
         self._host = host
         self._port = port
         self._idle = []
-        self._used = 0
-        self.opened = 0
+        self._used_count = 0
+        self.opened_count = 0
 
     async def send(self, method, target, headers, body, is_reply):
-        """Send a request; return ``Sent``. Cancelled, it closes its connection."""
+        """Send a request; return a ``SendResult``.
+
+        Cancelling it closes its connection.
+        """
         request = method, target, headers, body, is_reply
         return await self._send(request, ANY_TIME)
 
     async def send_to_life(self, method, target, headers, body, heard_s):
-        """Send a call to the process that was heard at ``heard_s``; return ``Sent``.
+        """Send a call to the life whose heartbeat was received at ``heard_s``.
 
-        Failure: a target crashes, and its next life listens at the same address before
-        it is heard of. Symptom: the new life is told to hold keys under the token of
-        the former one. Enough: the call goes on a connection that was there when the
-        heartbeat came, or was opened right after it; one to a former life is closed.
+        If a target crashes, its next life may listen on the same address before its
+        first heartbeat, and would be told to hold keys with the fence of the former
+        life. So the call is sent only on a connection that was open when the heartbeat
+        was received, or was opened right after it; a connection to a former life is
+        closed by then. ``heard_s`` is in seconds of the boot clock.
 
-        NOT_SENT also if there is no such connection before the next heartbeat.
+        Return a ``SendResult``. It's NOT_SENT also if there is no such connection
+        before the next heartbeat.
         """
-        opened_by_s = heard_s + SAME_LIFE_S
+        opened_by_s = heard_s + MIN_RESTART_S
         request = method, target, headers, body, any_reply
         try:
             return await self._send(request, opened_by_s)
-        except _NoneOpenedByError:
-            return Sent(SendEnd.NOT_SENT, None, "no connection to this life")
+        except _NoConnectionToLifeError:
+            return SendResult(SendEnd.NOT_SENT, None, "no connection to this life")
 
     async def _send(self, request, opened_by_s):
         for _ in range(2):
-            connection = self._take(opened_by_s)
+            connection = self._take_idle(opened_by_s)
             if connection is None:
                 if boot_s() > opened_by_s:
-                    raise _NoneOpenedByError
+                    raise _NoConnectionToLifeError
                 try:
                     connection = await self._open()
                 except ConnectionRefusedError as error:
-                    return Sent(SendEnd.NOT_SENT, None, repr(error), is_refused=True)
+                    return SendResult(
+                        SendEnd.NOT_SENT, None, repr(error), is_refused=True
+                    )
                 except OSError as error:
-                    return Sent(SendEnd.NOT_SENT, None, repr(error))
-            self._used += 1
+                    return SendResult(SendEnd.NOT_SENT, None, repr(error))
+            self._used_count += 1
             try:
                 reply = await connection.request(*request)
             except RequestNotSentError:
                 continue
             except RequestUnansweredError as error:
-                return Sent(SendEnd.UNANSWERED, None, str(error))
+                return SendResult(SendEnd.UNANSWERED, None, str(error))
             finally:
-                self._used -= 1
-            self._give_back(connection)
-            return Sent(SendEnd.REPLIED, reply)
-        return Sent(SendEnd.NOT_SENT, None, "closed while idle")
+                self._used_count -= 1
+            self._return_to_idle(connection)
+            return SendResult(SendEnd.REPLIED, reply)
+        return SendResult(SendEnd.NOT_SENT, None, "closed while idle")
 
     async def _open(self):
-        self.opened += 1
+        self.opened_count += 1
         return await ClientConnection.open(self._host, self._port, OPEN_TIMEOUT_S)
 
     async def keep(self, count):
-        """Have ``count`` idle connections, for a heartbeat to vouch for."""
-        while len(self._idle) + self._used < count:
+        """Open idle connections until there are ``count`` in all, also those in use.
+
+        They are open when the next heartbeat arrives, so ``send_to_life`` can use them
+        from then on.
+        """
+        while len(self._idle) + self._used_count < count:
             try:
-                self._give_back(await self._open())
+                self._return_to_idle(await self._open())
             except OSError:
-                # Nothing listens; the next heartbeat is of a process that does.
+                # Nothing listens; the process that sends the next heartbeat will.
                 return
 
-    def _take(self, opened_by_s):
+    def _take_idle(self, opened_by_s):
         """Return an idle connection, None if none may be used.
 
-        The one used last, so that spare ones are closed in time; where the age counts,
-        the one used first, so that all are kept.
+        Without a limit on the age, it's the one used last, so that unneeded ones reach
+        their idle timeout; with a limit, the one idle for longest, so that all stay
+        open.
         """
         now = boot_s()
-        is_any = opened_by_s == ANY_TIME
-        for connection in reversed(self._idle) if is_any else tuple(self._idle):
-            if not connection.is_open or not self._is_young(connection, now):
+        is_any_age = opened_by_s == ANY_TIME
+        for connection in reversed(self._idle) if is_any_age else tuple(self._idle):
+            if not connection.is_open or not self._is_reusable(connection, now):
                 connection.close()
             elif connection.opened_s <= opened_by_s:
                 self._idle.remove(connection)
@@ -146,14 +170,14 @@
         self._idle = [each for each in self._idle if each.is_open]
         return None
 
-    def _is_young(self, connection, now):
+    def _is_reusable(self, connection, now):
         limit_s = connection.idle_limit_s
         if limit_s is None:
-            limit_s = KEEP_DEFAULT_S
-        margin_s = min(KEEP_MARGIN_S, limit_s * KEEP_MARGIN_PART)
+            limit_s = DEFAULT_IDLE_TIMEOUT_S
+        margin_s = min(MAX_IDLE_MARGIN_S, limit_s * IDLE_MARGIN_FRACTION)
         return now - connection.idle_since_s < limit_s - margin_s
 
-    def _give_back(self, connection):
+    def _return_to_idle(self, connection):
         if connection.is_open:
             self._idle.append(connection)
 
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -1,4 +1,4 @@
-"""What a daemon knows from the control group; it never goes back to older state."""
+"""A daemon's view of the control group's state, which never returns to an older one."""
 
 import functools
 
@@ -14,11 +14,11 @@
 from tamarackhaven.fleet._model import TargetPhase
 from tamarackhaven.fleet._ranges import RangeIndex, assigned
 from tamarackhaven.routing import Configuration, RouteTable, edited
-from tamarackhaven.sidecar._pulse import Pulse
+from tamarackhaven.sidecar._pulse import ChangeSignal
 
-# A leader answers several times a second; without an answer for so long, what operators
-# have changed since may be unknown here.
-CONFIRMED_FOR_S = 1.5
+# A leader answers several times a second. Without an answer for this long, recent
+# changes by operators may be missing from the view.
+CONFIRMATION_TTL_S = 1.5
 
 
 class View:
@@ -29,25 +29,25 @@
         self._configuration = Configuration()
         self.zones_out = frozenset()
         self._zone_out_since_s = {}
-        self._has_heard_zones = False
+        self._has_received_zones = False
         self.target_by_life = {}
-        self._lives_by_service = {}
+        self._targets_by_service = {}
         self._keys_by_service = {}
         self._index_by_part = {}
-        self._changed = Pulse()
+        self._change_signal = ChangeSignal()
         self._confirmed_s = float("-inf")
 
     def confirm(self, asked_s):
-        """Note that the leader answers what it was asked at a time of the boot clock.
+        """Record that the leader has answered a report that was sent at ``asked_s``.
 
-        It sends an answer behind all that it had accepted before the question, on the
-        same link.
+        The leader sends the answer on the same link after all changes that it had
+        accepted before the report. ``asked_s`` is in seconds of the boot clock.
         """
         self._confirmed_s = max(self._confirmed_s, asked_s)
 
     def is_confirmed(self, now):
-        """Whether all that was accepted until lately is part of this view."""
-        return now - self._confirmed_s <= CONFIRMED_FOR_S
+        """Whether the view includes all changes that were accepted until recently."""
+        return now - self._confirmed_s <= CONFIRMATION_TTL_S
 
     @property
     def state_index(self):
@@ -55,7 +55,10 @@
         return max(self._index_by_part.values(), default=0)
 
     def known(self):
-        """Return what a leader needs not send again, as ``Known``."""
+        """Return the log indexes of the parts received so far, as ``Known``.
+
+        A leader doesn't send these parts again.
+        """
         index_by_part = self._index_by_part
         return Known(
             index_by_part.get("configuration", -1),
@@ -68,41 +71,47 @@
 
     @functools.singledispatchmethod
     def take(self, message):
-        """Take in a part; tell whether it was newer than what was known."""
-        raise TypeError(f"no part of the view: {type(message).__name__}")
+        """Apply a message about a part; return whether it was newer than the known one.
+
+        Raises
+        ------
+        TypeError
+            If it's a message of another type.
+        """
+        raise TypeError(f"not a message about the view: {type(message).__name__}")
 
     @take.register
     def _(self, message: ConfigurationView):
         if not self._is_newer("configuration", message.index):
             return False
-        return self._configure(message.configuration)
+        return self._apply_configuration(message.configuration)
 
     @take.register
     def _(self, message: ConfigurationChange):
         if not self._is_newer("configuration", message.index):
             return False
-        return self._configure(edited(self._configuration, message.edit))
+        return self._apply_configuration(edited(self._configuration, message.edit))
 
-    def _configure(self, configuration):
+    def _apply_configuration(self, configuration):
         self._configuration = configuration
         if configuration.version:
             self.table = RouteTable(configuration)
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: ZonesView):
         if not self._is_newer("zones", message.index):
             return False
-        # Failure: a daemon restarts while its zone is out. Symptom: counted from when
-        # it hears of that, its target goes on for longer than operators were told.
-        # Enough: what was out before it heard anything counts as out for long.
-        now = boot_s() if self._has_heard_zones else float("-inf")
-        self._has_heard_zones = True
+        # If a daemon restarts while its zone is out and counts from when it's notified,
+        # its target runs for longer than operators were told. So zones that are out in
+        # the first message count as out for an unlimited time already.
+        now = boot_s() if self._has_received_zones else float("-inf")
+        self._has_received_zones = True
         self.zones_out = frozenset(message.zones_out)
         self._zone_out_since_s = {
             zone: self._zone_out_since_s.get(zone, now) for zone in self.zones_out
         }
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: KeysView):
@@ -113,7 +122,7 @@
             known = self._keys_by_service[message.service].ranges
             ranges = assigned(known, ranges)
         self._keys_by_service[message.service] = RangeIndex(ranges)
-        return self._wake()
+        return self._notify_changed()
 
     @take.register
     def _(self, message: TargetsView):
@@ -121,27 +130,26 @@
             self.target_by_life.pop(life, None)
         for target in message.targets:
             self.target_by_life[target.life] = target
-        self._lives_by_service = {}
+        self._targets_by_service = {}
         for target in self.target_by_life.values():
-            self._lives_by_service.setdefault(target.service, []).append(target)
-        return self._wake()
+            self._targets_by_service.setdefault(target.service, []).append(target)
+        return self._notify_changed()
 
     def _is_newer(self, part, index):
-        # Failure: a leader that was deposed still has something on its way. Symptom:
-        # a daemon goes back to an older configuration. Enough: the log's index only
-        # rises, whoever sends it.
+        # Messages of a deposed leader may still be in flight, and a daemon would return
+        # to an older configuration. The log index only increases, whoever leads.
         if index <= self._index_by_part.get(part, -1):
             return False
         self._index_by_part[part] = index
         return True
 
-    def _wake(self):
-        self._changed.set()
+    def _notify_changed(self):
+        self._change_signal.notify_all()
         return True
 
     async def changed(self, timeout_s):
-        """Wait for the next change, ``timeout_s`` seconds at most."""
-        await self._changed.wait(timeout_s)
+        """Wait for the next change, for at most ``timeout_s`` seconds."""
+        await self._change_signal.wait(timeout_s)
 
     # Questions.
 
@@ -152,30 +160,33 @@
         return self.table.service_by_name.get(heartbeat.service)
 
     def zone_out_since_s(self, zone):
-        """Return when this daemon heard that a zone is out, None if it is in."""
+        """Return when this daemon was notified that a zone is out, None if it's in.
+
+        In seconds of the boot clock; minus infinity if it was out from the start.
+        """
         return self._zone_out_since_s.get(zone)
 
     def owner(self, service, key):
-        """Return the ``Target`` that owns a key, None if there is none known."""
+        """Return the ``Target`` that owns a key, None if none is known."""
         index = self._keys_by_service.get(service)
         if index is None:
             return None
         return self.target_by_life.get(index.find(key).owner)
 
     def keys_index(self, service):
-        """Return the log index of a service's owners, -1 if they are not known."""
+        """Return the log index of the owners of a service's keys, -1 if unknown."""
         return self._index_by_part.get(_keys_part(service), -1)
 
-    def choices(self, service):
+    def available_targets(self, service):
         """Return the targets of a service that may get new requests."""
         return [
             target
-            for target in self._lives_by_service.get(service, ())
+            for target in self._targets_by_service.get(service, ())
             if target.phase is TargetPhase.READY and target.zone not in self.zones_out
         ]
 
     def daemon_count(self):
-        """Return how many daemons there are, as far as known; at least 1."""
+        """Return the number of known daemons, at least 1."""
         return max(len(self.target_by_life), 1)
 
 
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -1,4 +1,4 @@
-"""Requests with large bodies to a target whose VM has a small link."""
+"""Requests with large bodies to a target whose VM has a narrow link."""
 
 import asyncio
 
@@ -13,29 +13,29 @@
 from tamarackhaven.sidecar._messages import PEER_CODEC, Answered, NotRun
 from tamarackhaven.sidecar._peers import Peers, PeerServer
 from tamarackhaven.sidecar._runs import Runs
-from tamarackhaven.sidecar._target_client import SendEnd, Sent
+from tamarackhaven.sidecar._target_client import SendEnd, SendResult
 from tests.sidecar.test_callers import SETTINGS, Log
 from tests.sidecar.test_peers import FORWARD
 
 LINK_BYTES_PER_S = 412_500
 BODY_BYTES = 60_000
-# Within this time a short call must be at its target, of the 0.2 s that it has.
+# A short call must reach its target within this time, which is all of its 0.2 s.
 CALL_OBJECTIVE_S = 0.2
 OBJECTIVE_S = 1.2
 DEADLINE_S = 3.0
-# A caller that is sent away early can go elsewhere, or come back in time.
+# A caller that is refused this early can still use another target, or retry in time.
 REFUSED_WITHIN_S = 0.4
 
 
 @attrs.define
 class State:
-    """A target that takes everything."""
+    """Fake state of a target that accepts all requests."""
 
     life: str = FORWARD.life
     heartbeat: object = None
     heard_s: float = 0.0
 
-    def takes_new(self, is_sharded, now):
+    def accepts_new(self, is_sharded, now):
         return True
 
     def is_cold(self, now):
@@ -58,29 +58,29 @@
         return Verdict.ANSWERED
 
 
-class TargetStandIn:
-    """Answers at once; keeps the sizes of the bodies that came."""
+class FakeTarget:
+    """Fake target that answers at once and records the sizes of received bodies."""
 
     def __init__(self):
         self.body_bytes = []
 
     async def send(self, method, target, headers, body, is_reply):
         self.body_bytes.append(len(body))
-        return Sent(SendEnd.REPLIED, Reply(200, (), b"done"))
+        return SendResult(SendEnd.REPLIED, Reply(200, (), b"done"))
 
     def close(self):
         pass
 
 
 class NarrowVM:
-    """A daemon and its target behind a narrow link, and the daemons that call it."""
+    """A daemon and its target behind a narrow link, and daemons that forward to it."""
 
     async def start(self):
         self.link = NarrowLink(LINK_BYTES_PER_S)
         inbound = Inbound(
             SETTINGS, State(), View(), Dialect(), "127.0.0.1", 1, Log(), Metrics()
         )
-        inbound.client = self.target = TargetStandIn()
+        inbound.client = self.target = FakeTarget()
         inbound._gate.slots = 6
         server = PeerServer("one", Runs(inbound), inbound.intake)
         self._links = LinkServer(PEER_CODEC, server.on_message, server.on_closed)
@@ -97,13 +97,13 @@
         return self._peers[-1]
 
     async def send(self, peers, number, body=b"", objective_s=OBJECTIVE_S):
-        """Return the end of a request, and after how many seconds it came."""
+        """Return the result of a request, and how long it took in seconds."""
         forward = attrs.evolve(FORWARD, number=number, body=body, is_safe=not body)
         now = boot_s()
-        end = await peers.run(
+        result = await peers.run(
             self._proxy.address, forward, now + DEADLINE_S, now + objective_s
         )
-        return end, boot_s() - now
+        return result, boot_s() - now
 
     def close(self):
         for peers in self._peers:
@@ -124,7 +124,7 @@
 
 
 async def upload(vm, count):
-    """Send one body from each of ``count`` daemons; return ends and seconds."""
+    """Send one body from each of ``count`` daemons; return (result, seconds) pairs."""
     body = bytes(BODY_BYTES)
     callers = [vm.caller() for _ in range(count)]
     for caller in callers:
@@ -133,8 +133,8 @@
 
 
 def test_a_short_call_does_not_wait_behind_the_bodies_of_many_daemons():
-    # Guards against: uploads fill a VM's link, and calls of work that runs elsewhere
-    # stand behind them until that work is too late.
+    # If uploads filled a VM's link, calls that belong to work on other VMs would queue
+    # behind them until that work misses its deadline.
     async def test(vm):
         caller = vm.caller()
         await vm.send(caller, 0)
@@ -142,8 +142,10 @@
         took_s = []
         for number in range(1, 20):
             await asyncio.sleep(0.05)
-            end, seconds = await vm.send(caller, number, objective_s=CALL_OBJECTIVE_S)
-            assert isinstance(end, Answered)
+            result, seconds = await vm.send(
+                caller, number, objective_s=CALL_OBJECTIVE_S
+            )
+            assert isinstance(result, Answered)
             took_s.append(seconds)
         await uploads
         return took_s
@@ -151,19 +153,23 @@
     assert max(run(test)) < CALL_OBJECTIVE_S
 
 
-def test_a_body_that_can_not_arrive_in_time_is_refused_before_it_crosses():
-    # Guards against: more bodies than a link carries all cross it, each later than the
-    # one before, so that all are late and none is told to come back.
+def test_a_body_that_cannot_arrive_in_time_is_refused_before_it_is_sent():
+    # If more bodies than a link can carry were all sent, each would arrive later than
+    # the one before; all would be late, and none would be refused with a retry time.
     async def test(vm):
         return await upload(vm, 40), vm.target.body_bytes, vm.link.carried_bytes
 
-    ends, target_bytes, carried_bytes = run(test)
-    answered_s = [seconds for end, seconds in ends if isinstance(end, Answered)]
-    refused_s = [seconds for end, seconds in ends if isinstance(end, NotRun)]
+    results, target_bytes, carried_bytes = run(test)
+    answered_s = [
+        seconds for result, seconds in results if isinstance(result, Answered)
+    ]
+    refused_s = [seconds for result, seconds in results if isinstance(result, NotRun)]
     assert len(answered_s) + len(refused_s) == 40
     assert max(answered_s) < OBJECTIVE_S
     assert max(refused_s) < REFUSED_WITHIN_S
-    assert all(end.retry_after_s > 0 for end, _ in ends if isinstance(end, NotRun))
+    assert all(
+        result.retry_after_s > 0 for result, _ in results if isinstance(result, NotRun)
+    )
     assert target_bytes.count(BODY_BYTES) == len(answered_s)
-    # Beside the bodies that ran, announcements and short calls.
+    # Besides the bodies of answered requests, there are announcements and short calls.
     assert carried_bytes < (len(answered_s) + 1) * BODY_BYTES
