--- a/tamarackhaven/sidecar/_arrivals.py
+++ b/tamarackhaven/sidecar/_arrivals.py
@@ -13,24 +13,24 @@
 import attrs
 
 # A part must be worth its own message, and short enough to let others pass.
-LEAST_PART_BYTES = 4096
-MOST_PART_BYTES = 65_536
+MIN_PART_BYTES = 4096
+MAX_PART_BYTES = 65_536
 # Parts on their way at once, so that the link isn't idle while one is asked for.
-LEAST_PARTS = 3
-MOST_WINDOW_BYTES = 1 << 20
+MIN_PARTS_IN_FLIGHT = 3
+MAX_WINDOW_BYTES = 1 << 20
 # A short call waits for so long behind the parts that are on their way.
-QUEUE_S = 0.02
+MAX_QUEUE_DELAY_S = 0.02
 # A sender from which nothing has come for so long doesn't hold up the others.
-STALLED_S = 0.15
+STALL_TIMEOUT_S = 0.15
 # What a link carries is judged by about this much time in which it was busy.
-RATE_LIFE_S = 0.5
+RATE_HALF_LIFE_S = 0.5
 # On a full link each part stands behind others; so often one is asked for alone, to
 # see how long the way itself is.
-ALONE_EVERY_S = 2.0
+ROUND_TRIP_INTERVAL_S = 2.0
 # The way is as long as the shortest of so many of these.
-ROUND_TRIPS = 4
+MAX_ROUND_TRIPS = 4
 # The estimate of when a body is whole is rough.
-WAIT_MARGIN = 1.25
+WAIT_SAFETY_FACTOR = 1.25
 
 
 @attrs.frozen
@@ -43,11 +43,11 @@
 
 
 @attrs.frozen
-class _Ask:
+class _PartRequest:
     """A part on its way: where it ends, when it was asked for, and if it was alone."""
 
     end: int
-    asked_s: float
+    requested_s: float
     is_alone: bool
 
 
@@ -75,65 +75,65 @@
     size: int
     offer: object
     order: int
-    asked: int = 0
-    got: int = 0
-    asks: collections.deque = attrs.field(factory=collections.deque)
-    moved_s: float = float("-inf")
+    requested_bytes: int = 0
+    received_bytes: int = 0
+    in_flight: collections.deque = attrs.field(factory=collections.deque)
+    last_progress_s: float = float("-inf")
 
     @property
-    def left(self):
+    def remaining_bytes(self):
         """Bytes that are still to come."""
-        return self.size - self.got
+        return self.size - self.received_bytes
 
     @property
-    def on_way(self):
+    def in_flight_bytes(self):
         """Bytes that were asked for and have not come."""
-        return self.asked - self.got
+        return self.requested_bytes - self.received_bytes
 
 
 class LinkRate:
     """What a link carries, learned from the parts that come over it."""
 
     def __init__(self):
-        self._bytes = 0.0
-        self._seconds = 0.0
-        self._since_s = None
-        self._round_trips_s = collections.deque(maxlen=ROUND_TRIPS)
-        self._alone_s = float("-inf")
+        self._weighted_bytes = 0.0
+        self._weighted_s = 0.0
+        self._busy_since_s = None
+        self._round_trips_s = collections.deque(maxlen=MAX_ROUND_TRIPS)
+        self._last_alone_s = float("-inf")
 
     @property
     def bytes_per_s(self):
         """Bytes a second, None before the first part."""
-        return self._bytes / self._seconds if self._seconds else None
+        return self._weighted_bytes / self._weighted_s if self._weighted_s else None
 
     def window_bytes(self, now):
         """Return how many bytes may be on their way at once."""
-        least = LEAST_PARTS * LEAST_PART_BYTES
-        if not self._seconds or not self._round_trips_s:
-            return least
-        if now - self._alone_s > ALONE_EVERY_S:
-            return LEAST_PART_BYTES
-        window = self.bytes_per_s * (min(self._round_trips_s) + QUEUE_S)
-        return min(max(int(window), least), MOST_WINDOW_BYTES)
-
-    def asked(self, is_alone, now):
+        min_bytes = MIN_PARTS_IN_FLIGHT * MIN_PART_BYTES
+        if not self._weighted_s or not self._round_trips_s:
+            return min_bytes
+        if now - self._last_alone_s > ROUND_TRIP_INTERVAL_S:
+            return MIN_PART_BYTES
+        window = self.bytes_per_s * (min(self._round_trips_s) + MAX_QUEUE_DELAY_S)
+        return min(max(int(window), min_bytes), MAX_WINDOW_BYTES)
+
+    def part_requested(self, is_alone, now):
         """Note that a part was asked for, alone if nothing else is on its way."""
-        if self._since_s is None:
-            self._since_s = now
+        if self._busy_since_s is None:
+            self._busy_since_s = now
         if is_alone:
-            self._alone_s = now
+            self._last_alone_s = now
 
-    def came(self, count, is_idle, now):
+    def part_received(self, count, is_idle, now):
         """Take in a part; ``is_idle`` if nothing more is on its way."""
-        busy_s = now - self._since_s if self._since_s is not None else 0.0
-        self._since_s = None if is_idle else now
-        if not 0.0 < busy_s < STALLED_S:
+        busy_s = now - self._busy_since_s if self._busy_since_s is not None else 0.0
+        self._busy_since_s = None if is_idle else now
+        if not 0.0 < busy_s < STALL_TIMEOUT_S:
             return
-        kept = 0.5 ** (busy_s / RATE_LIFE_S)
-        self._bytes = kept * self._bytes + count
-        self._seconds = kept * self._seconds + busy_s
+        decay = 0.5 ** (busy_s / RATE_HALF_LIFE_S)
+        self._weighted_bytes = decay * self._weighted_bytes + count
+        self._weighted_s = decay * self._weighted_s + busy_s
 
-    def came_alone(self, round_trip_s):
+    def add_round_trip(self, round_trip_s):
         """Take in how long a part took that had the link for itself."""
         self._round_trips_s.append(round_trip_s)
 
@@ -143,38 +143,40 @@
 
     Parameters
     ----------
-    patience : Patience
+    gate : Patience
         ``latest_start_s(offer)`` and ``longest_wait_s(offer, now)`` as of a ``Gate``.
     """
 
-    def __init__(self, patience):
-        self._patience = patience
+    def __init__(self, gate):
+        self._gate = gate
         self._body_by_key = {}
-        self._order = itertools.count()
+        self._announce_order = itertools.count()
         self.rate = LinkRate()
 
     @property
     def left_bytes(self):
         """Bytes that are still to come, of all bodies."""
-        return sum(body.left for body in self._body_by_key.values())
+        return sum(body.remaining_bytes for body in self._body_by_key.values())
 
     def left_of(self, key):
         """Return the bytes of one body that are still to come."""
         body = self._body_by_key.get(key)
-        return body.left if body is not None else 0
+        return body.remaining_bytes if body is not None else 0
 
     def expected_s(self, size, offer, now):
         """Return about when a body would be whole, in seconds from now."""
-        return self._seconds(self._ahead(_Body(None, size, offer, -1), now) + size)
+        return self._transfer_s(
+            self._bytes_ahead(_Body(None, size, offer, -1), now) + size
+        )
 
-    def _seconds(self, count):
+    def _transfer_s(self, count):
         rate = self.rate.bytes_per_s
         return count / rate if rate else 0.0
 
-    def _ahead(self, body, now):
+    def _bytes_ahead(self, body, now):
         rank = self._rank(body, now)
         return sum(
-            each.left
+            each.remaining_bytes
             for each in self._body_by_key.values()
             if self._rank(each, now) < rank
         )
@@ -186,14 +188,20 @@
         which they came, all bodies would be late. Limit: what is late or large still
         gets what nobody else needs, and what has begun isn't left halfway.
         """
-        whole_s = now + self._seconds(body.left)
-        is_late = whole_s > self._patience.latest_start_s(body.offer)
-        is_late = is_late and not body.asked
-        return is_late, body.offer.priority, not body.asked, body.left, body.order
+        complete_s = now + self._transfer_s(body.remaining_bytes)
+        is_late = complete_s > self._gate.latest_start_s(body.offer)
+        is_late = is_late and not body.requested_bytes
+        return (
+            is_late,
+            body.offer.priority,
+            not body.requested_bytes,
+            body.remaining_bytes,
+            body.order,
+        )
 
     def announce(self, key, size, offer):
         """Take in a body that another daemon has; its parts may be asked for."""
-        self._body_by_key[key] = _Body(key, size, offer, next(self._order))
+        self._body_by_key[key] = _Body(key, size, offer, next(self._announce_order))
 
     def drop(self, key):
         """Forget a body that is whole, or that nobody wants any more."""
@@ -203,23 +211,23 @@
         """Note that what is on its way was lost with its link."""
         body = self._body_by_key.get(key)
         if body is not None:
-            body.asked = body.got
-            body.asks.clear()
+            body.requested_bytes = body.received_bytes
+            body.in_flight.clear()
 
     def came(self, key, offset, count, now):
         """Take in a part; tell whether it is the one that is due."""
         body = self._body_by_key.get(key)
-        if body is None or offset != body.got or not body.asks:
+        if body is None or offset != body.received_bytes or not body.in_flight:
             return False
-        ask = body.asks.popleft()
-        if offset + count != ask.end:
+        request = body.in_flight.popleft()
+        if offset + count != request.end:
             return False
-        body.got = ask.end
-        body.moved_s = now
-        is_idle = not any(each.on_way for each in self._body_by_key.values())
-        self.rate.came(count, is_idle, now)
-        if ask.is_alone:
-            self.rate.came_alone(now - ask.asked_s)
+        body.received_bytes = request.end
+        body.last_progress_s = now
+        is_idle = not any(each.in_flight_bytes for each in self._body_by_key.values())
+        self.rate.part_received(count, is_idle, now)
+        if request.is_alone:
+            self.rate.add_round_trip(now - request.requested_s)
         return True
 
     def asks(self, now):
@@ -227,30 +235,36 @@
         bodies = sorted(
             self._body_by_key.values(), key=lambda body: self._rank(body, now)
         )
-        window = self.rate.window_bytes(now)
-        part = min(max(window // LEAST_PARTS, LEAST_PART_BYTES), MOST_PART_BYTES)
-        on_way = sum(body.on_way for body in bodies if now - body.moved_s < STALLED_S)
+        window_bytes = self.rate.window_bytes(now)
+        part_bytes = min(
+            max(window_bytes // MIN_PARTS_IN_FLIGHT, MIN_PART_BYTES), MAX_PART_BYTES
+        )
+        in_flight_bytes = sum(
+            body.in_flight_bytes
+            for body in bodies
+            if now - body.last_progress_s < STALL_TIMEOUT_S
+        )
         # A sender with a slow link of its own must not have the window for itself.
-        most = max(window // 2, 2 * part)
+        max_body_bytes_in_flight = max(window_bytes // 2, 2 * part_bytes)
         parts = []
         for body in bodies:
             while (
-                on_way < window
-                and body.asked < body.size
-                and body.on_way + part <= most
+                in_flight_bytes < window_bytes
+                and body.requested_bytes < body.size
+                and body.in_flight_bytes + part_bytes <= max_body_bytes_in_flight
             ):
-                count = min(part, body.size - body.asked)
-                parts.append(self._ask(body, count, not on_way, now))
-                on_way += count
+                count = min(part_bytes, body.size - body.requested_bytes)
+                parts.append(self._request_part(body, count, not in_flight_bytes, now))
+                in_flight_bytes += count
         return parts
 
-    def _ask(self, body, count, is_alone, now):
-        if not body.on_way:
-            body.moved_s = now
-        part = Part(body.key, body.asked, count)
-        body.asked += count
-        body.asks.append(_Ask(body.asked, now, is_alone))
-        self.rate.asked(is_alone, now)
+    def _request_part(self, body, count, is_alone, now):
+        if not body.in_flight_bytes:
+            body.last_progress_s = now
+        part = Part(body.key, body.requested_bytes, count)
+        body.requested_bytes += count
+        body.in_flight.append(_PartRequest(body.requested_bytes, now, is_alone))
+        self.rate.part_requested(is_alone, now)
         return part
 
     def in_vain(self, now):
@@ -259,18 +273,18 @@
         One that has begun to come is given up only if it can't be of any use.
         """
         refused = []
-        ahead = 0
+        bytes_ahead = 0
         for body in sorted(
             self._body_by_key.values(), key=lambda body: self._rank(body, now)
         ):
-            wait_s = self._seconds(ahead + body.left)
-            if self._is_in_vain(body, wait_s, now):
+            wait_s = self._transfer_s(bytes_ahead + body.remaining_bytes)
+            if self._should_refuse(body, wait_s, now):
                 refused.append((body.key, wait_s))
             else:
-                ahead += body.left
+                bytes_ahead += body.remaining_bytes
         return refused
 
-    def _is_in_vain(self, body, wait_s, now):
-        if body.asked:
-            return now + self._seconds(body.left) >= body.offer.deadline_s
-        return WAIT_MARGIN * wait_s > self._patience.longest_wait_s(body.offer, now)
+    def _should_refuse(self, body, wait_s, now):
+        if body.requested_bytes:
+            return now + self._transfer_s(body.remaining_bytes) >= body.offer.deadline_s
+        return WAIT_SAFETY_FACTOR * wait_s > self._gate.longest_wait_s(body.offer, now)
--- a/tamarackhaven/sidecar/_budget.py
+++ b/tamarackhaven/sidecar/_budget.py
@@ -4,7 +4,7 @@
 
 # The daemons don't ask each other: each takes its own part. What a repeated run calls
 # counts as repeated there, too, so some room is left for that.
-OWN_PART = 0.6
+DIRECT_RETRY_FRACTION = 0.6
 
 
 class RepeatBudget:
@@ -19,7 +19,7 @@
     def __init__(self, settings):
         self._settings = settings
         self._requests = collections.deque()
-        self._repeats = collections.deque()
+        self._retries = collections.deque()
 
     def request(self, now):
         """Count a caller's request."""
@@ -28,14 +28,14 @@
     def take(self, daemon_count, now):
         """Take one repeat if there is room for it; tell whether there was."""
         window_s = self._settings.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and now - times[0] > window_s:
                 times.popleft()
-        allowed = OWN_PART * (
+        allowed = DIRECT_RETRY_FRACTION * (
             self._settings.ratio * len(self._requests)
             + self._settings.slack / daemon_count
         )
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -20,8 +20,8 @@
 from tamarackhaven.fleet._model import KEY_COUNT, GrantId, Hold, Release
 from tamarackhaven.fleet._ranges import overlaps
 from tamarackhaven.sidecar._key_holds import (
-    HOLD_STRETCH,
-    SHORTEST_HOLD_S,
+    MIN_HOLD_S,
+    SLOW_CLOCK_FACTOR,
     HeartbeatReply,
     KeyHolds,
 )
@@ -34,12 +34,12 @@
 RELEASE_TIMEOUT_S = 1.5
 # Load: dozens of ranges. Harm: a call for each of them at each new grant, several times
 # a second. Limit: a hold is renewed once it would last this much longer.
-RENEWED_S = 0.6
+MIN_EXTENSION_S = 0.6
 # Load: many ranges at once, and calls that hang. Harm: one connection waits behind
 # another, or the target's connections are used up. Limit: so many calls of each kind at
 # a time.
-MOST_OPEN = 4
-MOST_RELEASES_OPEN = 8
+MAX_OPEN_GRANTS = 4
+MAX_OPEN_RELEASES = 8
 
 
 @attrs.frozen
@@ -110,9 +110,9 @@
     first: int
     last: int
     fence: int
-    held_until_s: float = float("-inf")
+    confirmed_until_s: float = float("-inf")
     until_s: float = float("-inf")
-    late_until_s: float = float("-inf")
+    unanswered_until_s: float = float("-inf")
     handover: str | None = None
 
     @property
@@ -139,9 +139,9 @@
         self._spans = []
         self._open_by_number = {}
         self._numbers = itertools.count(1)
-        self._refused = set()
-        self._own_handovers = []
-        self._unknown_until_s = None
+        self._refused_holds = set()
+        self._past_releases = []
+        self._earlier_holds_until_s = None
 
     # What comes in.
 
@@ -152,14 +152,14 @@
         if self._grant is not None and (
             former is None or former.ranges != self._grant.ranges
         ):
-            self._cut(self._grant.ranges)
+            self._split_spans(self._grant.ranges)
 
     def heard(self, beat, now):
         """Take in a heartbeat of this life; it says nothing about keys."""
-        if self._unknown_until_s is None:
+        if self._earlier_holds_until_s is None:
             # The first heartbeat of a life: nobody can have told it anything before.
             is_new = beat.sequence <= 1
-            self._unknown_until_s = now if is_new else now + self._lease.lease_s
+            self._earlier_holds_until_s = now if is_new else now + self._lease.lease_s
         return HeartbeatReply()
 
     def ended(self, order, end, now, handover=""):
@@ -179,41 +179,41 @@
         del self._open_by_number[order.number]
         if isinstance(order, ReleaseOrder):
             if end is OrderEnd.DONE:
-                self._change(order, handover=handover)
-                self._forget(now)
+                self._update_spans(order, handover=handover)
+                self._drop_expired(now)
         elif end is OrderEnd.DONE:
-            self._granted(order)
+            self._confirm_grant(order)
         elif end is OrderEnd.UNANSWERED:
-            self._change(order, late_until_s=_until_s(order))
+            self._update_spans(order, unanswered_until_s=_latest_end_s(order))
         elif end is OrderEnd.SUPERSEDED:
-            self._refused.add(Hold(order.first, order.last, order.fence))
+            self._refused_holds.add(Hold(order.first, order.last, order.fence))
 
-    def _granted(self, order):
-        held_until_s = order.made_s + order.hold_s
+    def _confirm_grant(self, order):
+        confirmed_until_s = order.made_s + order.hold_s
         for span in self._inside(order):
             if span.fence < order.fence:
                 # Its token is below one that the target has seen.
                 self._spans.remove(span)
-        self._change(order, held_until_s=held_until_s)
+        self._update_spans(order, confirmed_until_s=confirmed_until_s)
 
-    def _change(self, order, **fields):
+    def _update_spans(self, order, **fields):
         """Change the spans of an order; a time only ever rises."""
         for number, span in enumerate(self._spans):
             if span.fence != order.fence or not span.is_inside(order):
                 continue
-            risen = {
+            raised = {
                 name: max(getattr(span, name), value)
                 if isinstance(value, float)
                 else value
                 for name, value in fields.items()
             }
-            self._spans[number] = attrs.evolve(span, **risen)
+            self._spans[number] = attrs.evolve(span, **raised)
 
     # What goes out.
 
     def due(self, now):
         """Return the calls to make now, as a list; each must be ``ended`` later."""
-        self._forget(now)
+        self._drop_expired(now)
         if self._grant is None or now >= self._lease_until_s:
             return []
         wanted = self._grant.ranges
@@ -222,11 +222,11 @@
     def _due_releases(self, wanted, now):
         orders = []
         for span in self._spans:
-            if len(self._open(ReleaseOrder)) >= MOST_RELEASES_OPEN:
+            if len(self._open_orders(ReleaseOrder)) >= MAX_OPEN_RELEASES:
                 break
             if span.is_released or any(span.is_inside(row) for row in wanted):
                 continue
-            if not self._is_open(span):
+            if not self._has_open_order(span):
                 order = ReleaseOrder(
                     next(self._numbers), span.first, span.last, span.fence, now
                 )
@@ -235,20 +235,20 @@
         return orders
 
     def _due_grants(self, wanted, now):
-        hold_s = self._longest_hold_s(now, CALL_TIMEOUT_S)
-        if hold_s < SHORTEST_HOLD_S:
+        hold_s = self._max_hold_s(now, CALL_TIMEOUT_S)
+        if hold_s < MIN_HOLD_S:
             return []
         orders = []
         span_by_keys = {
             (each.first, each.last, each.fence): each for each in self._spans
         }
-        due = [(self._held_until_s(row, span_by_keys), row) for row in wanted]
-        due = [each for each in due if now + hold_s - each[0] >= RENEWED_S]
+        due = [(self._confirmed_until_s(row, span_by_keys), row) for row in wanted]
+        due = [each for each in due if now + hold_s - each[0] >= MIN_EXTENSION_S]
         for _, row in sorted(due, key=lambda each: each[0]):
-            if len(self._open(GrantOrder)) >= MOST_OPEN:
+            if len(self._open_orders(GrantOrder)) >= MAX_OPEN_GRANTS:
                 break
-            is_refused = Hold(row.first, row.last, row.fence) in self._refused
-            if is_refused or self._is_open(row):
+            is_refused = Hold(row.first, row.last, row.fence) in self._refused_holds
+            if is_refused or self._has_open_order(row):
                 continue
             order = GrantOrder(
                 next(self._numbers),
@@ -260,11 +260,11 @@
                 now,
             )
             self._open_by_number[order.number] = order
-            self._tell(order)
+            self._record_grant_sent(order)
             orders.append(order)
         return orders
 
-    def _tell(self, order):
+    def _record_grant_sent(self, order):
         """Note that a call may give the target its keys from now on."""
         parts = [each for each in self._inside(order) if each.fence == order.fence]
         is_whole = sum(each.last - each.first + 1 for each in parts) == (
@@ -272,36 +272,36 @@
         )
         for part in parts:
             self._spans.remove(part)
-        held_until_s = float("-inf")
+        confirmed_until_s = float("-inf")
         if is_whole and not any(each.is_released for each in parts):
-            held_until_s = min(each.held_until_s for each in parts)
+            confirmed_until_s = min(each.confirmed_until_s for each in parts)
         self._spans.append(
             _Span(
                 order.first,
                 order.last,
                 order.fence,
-                held_until_s,
-                max([_until_s(order), *(each.until_s for each in parts)]),
-                max((each.late_until_s for each in parts), default=float("-inf")),
+                confirmed_until_s,
+                max([_latest_end_s(order), *(each.until_s for each in parts)]),
+                max((each.unanswered_until_s for each in parts), default=float("-inf")),
             )
         )
 
-    def _open(self, kind):
+    def _open_orders(self, kind):
         return [
             each for each in self._open_by_number.values() if isinstance(each, kind)
         ]
 
-    def _is_open(self, keys):
+    def _has_open_order(self, keys):
         return any(overlaps(order, keys) for order in self._open_by_number.values())
 
     def _inside(self, keys):
         return [span for span in self._spans if span.is_inside(keys)]
 
-    def _held_until_s(self, row, span_by_keys):
+    def _confirmed_until_s(self, row, span_by_keys):
         """Return until when the target certainly holds all keys of a granted row."""
-        same = span_by_keys.get((row.first, row.last, row.fence))
-        if same is not None and not same.is_released:
-            return same.held_until_s
+        exact = span_by_keys.get((row.first, row.last, row.fence))
+        if exact is not None and not exact.is_released:
+            return exact.confirmed_until_s
         parts = [
             each
             for each in self._inside(row)
@@ -309,7 +309,7 @@
         ]
         if sum(each.last - each.first + 1 for each in parts) < row.last - row.first + 1:
             return float("-inf")
-        return min(each.held_until_s for each in parts)
+        return min(each.confirmed_until_s for each in parts)
 
     def _own_handover(self, row):
         """Return what this life itself released a row with that came back to it.
@@ -318,13 +318,13 @@
         one leaves them where they are. Symptom: they come back slow, as if from a
         stranger. Enough: under the same token nobody else has had them.
         """
-        for fence, release in reversed(self._own_handovers):
+        for fence, release in reversed(self._past_releases):
             is_covered = release.first <= row.first and row.last <= release.last
             if fence == row.fence and is_covered:
                 return release.handover
         return ""
 
-    def _cut(self, rows):
+    def _split_spans(self, rows):
         """Split spans, so that each lies inside one of ``rows`` or outside of all."""
         edges = sorted({each.first for each in rows} | {each.last + 1 for each in rows})
         spans = []
@@ -338,21 +338,21 @@
             ]
         self._spans = spans
 
-    def _forget(self, now):
+    def _drop_expired(self, now):
         """Drop spans that the target certainly holds no more, and note releases."""
         kept = []
         released = []
         for span in self._spans:
-            is_open = self._is_open(span)
-            if span.is_released and now >= span.late_until_s and not is_open:
+            is_open = self._has_open_order(span)
+            if span.is_released and now >= span.unanswered_until_s and not is_open:
                 release = Release(span.first, span.last, span.handover)
                 released.append(release)
-                self._own_handovers.append((span.fence, release))
+                self._past_releases.append((span.fence, release))
             elif now < span.until_s or is_open:
                 kept.append(span)
-        del self._own_handovers[:-64]
+        del self._past_releases[:-64]
         self._spans = kept
-        self._note_releases(released, now)
+        self._record_releases(released, now)
 
     # Questions.
 
@@ -362,20 +362,23 @@
             return False
         return any(
             each.first <= key <= each.last
-            and now < each.held_until_s
+            and now < each.confirmed_until_s
             and not each.is_released
             for each in self._spans
         )
 
     def is_known(self, now):
         """Whether nothing runs any more that an earlier process told the target."""
-        return self._unknown_until_s is not None and now >= self._unknown_until_s
+        return (
+            self._earlier_holds_until_s is not None
+            and now >= self._earlier_holds_until_s
+        )
 
     def held(self, now):
         """Return what the target may hold, as a tuple of ``Hold``."""
         if not self.is_known(now):
             return (Hold(0, KEY_COUNT - 1, 0),)
-        self._forget(now)
+        self._drop_expired(now)
         return tuple(Hold(each.first, each.last, each.fence) for each in self._spans)
 
     @property
@@ -389,9 +392,9 @@
         if self._grant is None:
             return ()
         rows = {Hold(row.first, row.last, row.fence) for row in self._grant.ranges}
-        return tuple(self._refused & rows)
+        return tuple(self._refused_holds & rows)
 
 
-def _until_s(order):
+def _latest_end_s(order):
     """Return when everything that a grant could give has run out."""
-    return order.made_s + CALL_TIMEOUT_S + order.hold_s * HOLD_STRETCH
+    return order.made_s + CALL_TIMEOUT_S + order.hold_s * SLOW_CLOCK_FACTOR
--- a/tamarackhaven/sidecar/_choice.py
+++ b/tamarackhaven/sidecar/_choice.py
@@ -12,39 +12,39 @@
 from tamarackhaven.sidecar._messages import Answered, NotRun
 
 # What a daemon said of its load fades: with 100 ms of work a second is ten turns.
-LOAD_LIFE_S = 2.0
+LOAD_TTL_S = 2.0
 # Before any answer, all targets count as equal.
-UNKNOWN_WORK_MS = 100.0
+DEFAULT_WORK_MS = 100.0
 # A target that is slow isn't chosen, and so nothing new is heard of it. What was heard
 # loses half of its difference to the others in this time, so that it is tried again.
 WORK_HALF_LIFE_S = 4.0
 # Crossing zones takes about a millisecond, and its bytes are paid for: a usual answer
 # costs as much as some hundredths of what it is worth. A target in another zone has to
 # be better by that.
-OTHER_ZONE_MS = 5.0
-OTHER_ZONE_PART = 0.15
+CROSS_ZONE_COST_MS = 5.0
+CROSS_ZONE_COST_FRACTION = 0.15
 # A large body pays for each of its bytes: one of 60 kB as much as a tenth of a second.
-OTHER_ZONE_MS_PER_KB = 1.5
+CROSS_ZONE_COST_MS_PER_KB = 1.5
 # A target that couldn't be reached is left alone for so long, then for twice as long.
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
+MIN_PAUSE_S = 0.5
+MAX_PAUSE_S = 4.0
 # Weight of the newest end in a target's share of failures: some ten ends.
-FAILURE_SMOOTHING = 0.1
+FAILURE_SMOOTHING_FACTOR = 0.1
 # A request that fails costs its caller a second one: a target that fails each second
 # request counts as five times as slow.
-FAILURE_WEIGHT = 8.0
+FAILURE_COST_FACTOR = 8.0
 
 
 @attrs.define
-class _Seen:
+class _TargetStats:
     """What one daemon knows of one target."""
 
     load: object = None
-    load_s: float = float("-inf")
+    load_received_s: float = float("-inf")
     work_by_route: dict = attrs.field(factory=dict)
-    open: int = 0
-    sent_since: int = 0
-    failures: float = 0.0
+    in_flight: int = 0
+    sent_since_load: int = 0
+    failure_fraction: float = 0.0
     paused_until_s: float = float("-inf")
     pause_s: float = 0.0
 
@@ -66,13 +66,13 @@
         self._zone = zone
         self._random = random
         self._is_here = is_here
-        self._seen_by_life = {}
+        self._stats_by_life = {}
 
-    def _seen(self, life):
-        seen = self._seen_by_life.get(life)
-        if seen is None:
-            seen = self._seen_by_life[life] = _Seen()
-        return seen
+    def _stats(self, life):
+        stats = self._stats_by_life.get(life)
+        if stats is None:
+            stats = self._stats_by_life[life] = _TargetStats()
+        return stats
 
     def pick(self, targets, route, now, avoid=(), body_bytes=0):
         """Return a target, or None if all are to be avoided.
@@ -91,87 +91,92 @@
         body_bytes : int
             Size of the request's body.
         """
-        free = [target for target in targets if target.life not in avoid]
-        if not free:
+        untried = [target for target in targets if target.life not in avoid]
+        if not untried:
             return None
-        rested = [
-            target for target in free if self._seen(target.life).paused_until_s <= now
+        unpaused = [
+            target
+            for target in untried
+            if self._stats(target.life).paused_until_s <= now
         ]
-        if not rested:
-            return min(free, key=lambda each: self._seen(each.life).paused_until_s)
-        usual_ms = self._usual_ms(rested, route, now)
+        if not unpaused:
+            return min(untried, key=lambda each: self._stats(each.life).paused_until_s)
+        mean_ms = self._mean_work_ms(unpaused, route, now)
         return min(
-            rested,
+            unpaused,
             key=lambda target: (
-                self._cost_ms(target, route, usual_ms, now)
-                + self.crossing_ms(target, body_bytes)
-                + self._link_ms(target, body_bytes, now)
+                self._cost_ms(target, route, mean_ms, now)
+                + self.cross_zone_cost_ms(target, body_bytes)
+                + self._transfer_ms(target, body_bytes, now)
             ),
         )
 
-    def _link_ms(self, target, body_bytes, now):
+    def _transfer_ms(self, target, body_bytes, now):
         """Return about how long a body takes over the link of a target's VM.
 
         Load: bodies that take longer on their way than at the target. Harm: chosen by
         its slots alone, a target with a full link looks as good as any. Limit: what
         its daemon said last of its link, as long as that is fresh.
         """
-        load = self._seen(target.life).load
+        load = self._stats(target.life).load
         if not body_bytes or load is None or not load.link_bytes_per_s:
             return 0.0
         if self._is_here(target.life):
             return 0.0
-        is_fresh = now - self._seen(target.life).load_s < LOAD_LIFE_S
+        is_fresh = now - self._stats(target.life).load_received_s < LOAD_TTL_S
         ahead_bytes = load.arriving_bytes if is_fresh else 0
         return 1000 * (ahead_bytes + body_bytes) / load.link_bytes_per_s
 
-    def crossing_ms(self, target, body_bytes):
+    def cross_zone_cost_ms(self, target, body_bytes):
         """Return how much later a target may answer that spares a body the crossing."""
         if target.zone == self._zone:
             return 0.0
-        return OTHER_ZONE_MS_PER_KB * body_bytes / 1000
+        return CROSS_ZONE_COST_MS_PER_KB * body_bytes / 1000
 
-    def _usual_ms(self, targets, route, now):
+    def _mean_work_ms(self, targets, route, now):
         """Return the mean working time of a route; what is older counts less."""
-        total = weight = 0.0
+        total = total_weight = 0.0
         for target in targets:
-            known = self._seen(target.life).work_by_route.get(route)
+            known = self._stats(target.life).work_by_route.get(route)
             if known is not None:
-                work_ms, heard_s = known
-                kept = _kept(now - heard_s)
-                total += kept * work_ms
-                weight += kept
-        return total / weight if weight else UNKNOWN_WORK_MS
+                work_ms, received_s = known
+                weight = _age_weight(now - received_s)
+                total += weight * work_ms
+                total_weight += weight
+        return total / total_weight if total_weight else DEFAULT_WORK_MS
 
-    def _cost_ms(self, target, route, usual_ms, now):
+    def _cost_ms(self, target, route, mean_ms, now):
         """Return about how long a request would take at ``target``."""
-        seen = self._seen(target.life)
-        work_ms, heard_s = seen.work_by_route.get(route, (usual_ms, now))
-        work_ms = usual_ms + _kept(now - heard_s) * (work_ms - usual_ms)
+        stats = self._stats(target.life)
+        work_ms, received_s = stats.work_by_route.get(route, (mean_ms, now))
+        work_ms = mean_ms + _age_weight(now - received_s) * (work_ms - mean_ms)
         busy, slots = target.load * target.slots, target.slots
-        if seen.load is not None and now - seen.load_s < LOAD_LIFE_S:
+        if stats.load is not None and now - stats.load_received_s < LOAD_TTL_S:
             busy = max(
-                seen.load.running + seen.load.waiting + seen.sent_since, seen.open
+                stats.load.running + stats.load.waiting + stats.sent_since_load,
+                stats.in_flight,
             )
-        elif seen.load is not None:
-            busy = max(busy, seen.open)
-        if seen.load is not None:
-            slots = seen.load.slots
-        fill = (busy + 1) / max(slots, 1)
-        cost_ms = work_ms * max(1.0, fill) + work_ms * 0.25 * min(fill, 1.0)
-        cost_ms *= 1 + FAILURE_WEIGHT * seen.failures
+        elif stats.load is not None:
+            busy = max(busy, stats.in_flight)
+        if stats.load is not None:
+            slots = stats.load.slots
+        utilization = (busy + 1) / max(slots, 1)
+        cost_ms = work_ms * max(1.0, utilization) + work_ms * 0.25 * min(
+            utilization, 1.0
+        )
+        cost_ms *= 1 + FAILURE_COST_FACTOR * stats.failure_fraction
         if target.zone != self._zone:
-            cost_ms += OTHER_ZONE_MS + OTHER_ZONE_PART * cost_ms
-        if seen.load is not None and seen.load.is_cold:
+            cost_ms += CROSS_ZONE_COST_MS + CROSS_ZONE_COST_FRACTION * cost_ms
+        if stats.load is not None and stats.load.is_cold:
             cost_ms *= 2
         # Many daemons with the same news would all choose the same target.
         return cost_ms * (1 + 0.2 * self._random())
 
     def sent(self, life):
         """Count a request on its way to a target."""
-        seen = self._seen(life)
-        seen.open += 1
-        seen.sent_since += 1
+        stats = self._stats(life)
+        stats.in_flight += 1
+        stats.sent_since_load += 1
 
     def ended(self, life, route, load, failed, now):
         """Take in the end of a request.
@@ -189,35 +194,37 @@
         now : float
             Seconds of the boot clock.
         """
-        seen = self._seen(life)
-        seen.open = max(seen.open - 1, 0)
+        stats = self._stats(life)
+        stats.in_flight = max(stats.in_flight - 1, 0)
         if load is not None:
-            seen.load = load
-            seen.load_s = now
+            stats.load = load
+            stats.load_received_s = now
             if load.work_ms:
-                seen.work_by_route[route] = (load.work_ms, now)
-            seen.sent_since = 0
-            seen.pause_s = 0.0
-            seen.paused_until_s = float("-inf")
+                stats.work_by_route[route] = (load.work_ms, now)
+            stats.sent_since_load = 0
+            stats.pause_s = 0.0
+            stats.paused_until_s = float("-inf")
         if failed is not None:
-            seen.failures += FAILURE_SMOOTHING * (float(failed) - seen.failures)
+            stats.failure_fraction += FAILURE_SMOOTHING_FACTOR * (
+                float(failed) - stats.failure_fraction
+            )
 
     def unreachable(self, life, now):
         """Leave a target alone for a while."""
-        seen = self._seen(life)
-        seen.pause_s = min(max(2 * seen.pause_s, FIRST_PAUSE_S), LONGEST_PAUSE_S)
-        seen.paused_until_s = now + seen.pause_s
+        stats = self._stats(life)
+        stats.pause_s = min(max(2 * stats.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
+        stats.paused_until_s = now + stats.pause_s
 
     def pause(self, life, seconds, now):
         """Send a target nothing for ``seconds``, unless all are paused."""
-        seen = self._seen(life)
-        seen.paused_until_s = max(seen.paused_until_s, now + seconds)
+        stats = self._stats(life)
+        stats.paused_until_s = max(stats.paused_until_s, now + seconds)
 
     def forget(self, lives):
         """Forget the targets that are not among ``lives``."""
-        for life in list(self._seen_by_life):
-            if life not in lives and not self._seen_by_life[life].open:
-                del self._seen_by_life[life]
+        for life in list(self._stats_by_life):
+            if life not in lives and not self._stats_by_life[life].in_flight:
+                del self._stats_by_life[life]
 
 
 def has_failed(end):
@@ -234,6 +241,6 @@
     return True
 
 
-def _kept(age_s):
+def _age_weight(age_s):
     """Return the part of something heard that still counts at this age."""
     return 0.5 ** (age_s / WORK_HALF_LIFE_S)
--- a/tamarackhaven/sidecar/_gate.py
+++ b/tamarackhaven/sidecar/_gate.py
@@ -11,43 +11,43 @@
 from tamarackhaven.errors import ErrorKind
 
 # Weight of the newest answer in a route's mean working time: some ten answers.
-SMOOTHING = 0.1
+WORK_SMOOTHING_FACTOR = 0.1
 # Before the first answer of a route. Too long a guess would refuse what has room.
-FIRST_WORK_S = 0.1
+INITIAL_WORK_S = 0.1
 # Load: a queue that is longer than the time left. Harm: a request waits in vain, and
 # its caller learns late that it must come back. Limit: the estimate of the wait is
 # rough, so a request is let in only if it fits with a quarter to spare.
-WAIT_MARGIN = 1.25
+WAIT_SAFETY_FACTOR = 1.25
 # Load: demand about as high as the slots, or higher. Harm: one request that waits until
 # it is late makes those behind it late, too, and so on. Limit: what can't be in time
 # is sent away at once, unless a place is about to be free: a tenth of its time.
-LATE_PART = 0.1
+LATE_WAIT_FRACTION = 0.1
 # Short requests may wait for this part of the time they have.
-SHORT_WAIT_PART = 0.6
+SHORT_WAIT_FRACTION = 0.6
 # The queue counts as overloaded if it has not been empty for so long; some working
 # times of the slowest routes.
-CALM_S = 1.0
+OVERLOAD_AFTER_S = 1.0
 # Load: a burst of callers that all hear the same time to come back. Harm: they come
 # back as one wave. Limit: spread over twice the time after which there is room.
-SPREAD = 1.0
-SHORTEST_RETRY_S = 0.05
-LONGEST_RETRY_S = 2.0
+RETRY_JITTER_FACTOR = 1.0
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 2.0
 COLD_WINDOW_S = 1.0
 # Load: lasting overload by long requests. Harm: sent away, a short call fails the work
 # elsewhere that waits for it, and all that this has used is lost; let in, it takes a
 # place for a moment. Limit: work of less than this part of the mean counts as short.
-SHORT_PART = 0.6
+SHORT_WORK_FRACTION = 0.6
 
 
 # Load: a zone comes back cold, with the demand of before. Harm: at the cold rate alone
 # most of it is turned away, though targets fall over only well above that. Limit: so
 # many times the cold rate; half as much again is too much.
-COLD_USE = 1.25
+COLD_RATE_FACTOR = 1.25
 
 
 def cold_starts(per_s):
     """Return the starts in any second that a cold target is given; at least 1."""
-    return max(int(COLD_USE * per_s), 1)
+    return max(int(COLD_RATE_FACTOR * per_s), 1)
 
 
 @attrs.frozen
@@ -93,15 +93,15 @@
 
 
 @attrs.define
-class _Work:
+class _MeanWork:
     """Mean working time of one route's requests, in seconds."""
 
-    mean_s: float = FIRST_WORK_S
+    mean_s: float = INITIAL_WORK_S
     count: int = 0
 
     def add(self, seconds):
         self.count += 1
-        weight = max(SMOOTHING, 1 / self.count)
+        weight = max(WORK_SMOOTHING_FACTOR, 1 / self.count)
         self.mean_s += weight * (seconds - self.mean_s)
 
 
@@ -119,34 +119,34 @@
     def __init__(self, slots, random):
         self.slots = slots
         self._random = random
-        self._work_by_route = collections.defaultdict(_Work)
-        self._all_work = _Work()
-        self._running = {}
-        self._waiting = {}
-        self._order = itertools.count()
-        self._cold_rate = None
-        self._cold_starts = collections.deque()
-        self._calm_s = float("-inf")
+        self._work_by_route = collections.defaultdict(_MeanWork)
+        self._overall_work = _MeanWork()
+        self._running_by_number = {}
+        self._waiting_by_number = {}
+        self._arrival_order = itertools.count()
+        self._cold_rate_per_s = None
+        self._recent_starts_s = collections.deque()
+        self._last_empty_s = float("-inf")
 
     @property
     def running(self):
         """Requests at the target."""
-        return len(self._running)
+        return len(self._running_by_number)
 
     @property
     def waiting(self):
         """Requests that wait."""
-        return len(self._waiting)
+        return len(self._waiting_by_number)
 
     @property
     def work_s(self):
         """Mean working time over all routes, in seconds."""
-        return self._all_work.mean_s
+        return self._overall_work.mean_s
 
     @property
     def has_worked(self):
         """Whether the target has answered a request yet."""
-        return self._all_work.count > 0
+        return self._overall_work.count > 0
 
     def route_work_s(self, route):
         """Return the mean working time of a route's requests, 0 before the first."""
@@ -156,55 +156,55 @@
     @property
     def is_cold(self):
         """Whether starts are limited by the target's cold rate."""
-        return self._cold_rate is not None
+        return self._cold_rate_per_s is not None
 
     def set_cold(self, per_s):
         """Start at most ``per_s`` requests in any second; None for no such limit."""
-        self._cold_rate = per_s
+        self._cold_rate_per_s = per_s
 
     def offer(self, offer, now):
         """Return ``Start``, ``Refuse`` or None if the request waits."""
         if now >= offer.deadline_s:
             return Refuse(offer.number, ErrorKind.DEADLINE_PAST, 0.0)
-        if not self._waiting:
-            self._calm_s = now
-        if not self._waiting and self._has_room(now):
+        if not self._waiting_by_number:
+            self._last_empty_s = now
+        if not self._waiting_by_number and self._has_room(now):
             return self._start(offer, now)
-        wait_s = self._wait_s(offer, now)
+        wait_s = self._estimated_wait_s(offer, now)
         if not offer.waits:
-            return Refuse(offer.number, self._full_kind, wait_s)
-        if WAIT_MARGIN * wait_s > self.longest_wait_s(offer, now):
+            return Refuse(offer.number, self._refusal_kind, wait_s)
+        if WAIT_SAFETY_FACTOR * wait_s > self.longest_wait_s(offer, now):
             return self.refuse(offer, wait_s)
-        self._waiting[offer.number] = (next(self._order), offer)
+        self._waiting_by_number[offer.number] = (next(self._arrival_order), offer)
         return None
 
     def expected_wait_s(self, offer, now):
         """Return about how long a request would wait here, in seconds."""
-        if not self._waiting and self._has_room(now):
+        if not self._waiting_by_number and self._has_room(now):
             return 0.0
-        return self._wait_s(offer, now)
+        return self._estimated_wait_s(offer, now)
 
-    def foresee(self, offer, bring_s, others_come, now):
+    def foresee(self, offer, transfer_s, has_other_bodies, now):
         """Return a ``Refuse`` for a request that its body had better not follow.
 
         Parameters
         ----------
         offer : Offer
             Of the request.
-        bring_s : float
+        transfer_s : float
             About how long its body takes to come.
-        others_come : bool
+        has_other_bodies : bool
             Whether other bodies are on their way.
         now : float
             Seconds of the boot clock.
         """
         if now >= offer.deadline_s:
             return Refuse(offer.number, ErrorKind.DEADLINE_PAST, 0.0)
-        gate_s = self.expected_wait_s(offer, now)
-        wait_s = max(bring_s, gate_s)
-        if not offer.waits and (gate_s or others_come):
-            return Refuse(offer.number, self._full_kind, wait_s)
-        if WAIT_MARGIN * wait_s > self.longest_wait_s(offer, now):
+        queue_s = self.expected_wait_s(offer, now)
+        wait_s = max(transfer_s, queue_s)
+        if not offer.waits and (queue_s or has_other_bodies):
+            return Refuse(offer.number, self._refusal_kind, wait_s)
+        if WAIT_SAFETY_FACTOR * wait_s > self.longest_wait_s(offer, now):
             return self.refuse(offer, wait_s)
         return None
 
@@ -217,60 +217,66 @@
         work_s = self._work_by_route[offer.route].mean_s
         left_s = offer.deadline_s - now - work_s
         if self._is_short(offer):
-            return SHORT_WAIT_PART * left_s
+            return SHORT_WAIT_FRACTION * left_s
         in_time_s = offer.objective_s - now - work_s
-        return min(max(in_time_s, LATE_PART * left_s), left_s)
+        return min(max(in_time_s, LATE_WAIT_FRACTION * left_s), left_s)
 
     def _is_short(self, offer):
         """Whether a request takes its place for a short time only."""
         work = self._work_by_route[offer.route]
-        return work.count > 0 and work.mean_s < SHORT_PART * self._all_work.mean_s
+        return (
+            work.count > 0
+            and work.mean_s < SHORT_WORK_FRACTION * self._overall_work.mean_s
+        )
 
     def _is_overloaded(self, now):
         """Whether the queue has not been empty for some time."""
-        return now - self._calm_s > CALM_S
+        return now - self._last_empty_s > OVERLOAD_AFTER_S
 
     def _has_room(self, now):
-        if len(self._running) >= self.slots:
+        if len(self._running_by_number) >= self.slots:
             return False
-        return self._cold_rate is None or self._cold_room(now)
+        return self._cold_rate_per_s is None or self._has_cold_room(now)
 
-    def _cold_room(self, now):
-        while self._cold_starts and now - self._cold_starts[0] >= COLD_WINDOW_S:
-            self._cold_starts.popleft()
-        return len(self._cold_starts) < self._cold_rate
+    def _has_cold_room(self, now):
+        while self._recent_starts_s and now - self._recent_starts_s[0] >= COLD_WINDOW_S:
+            self._recent_starts_s.popleft()
+        return len(self._recent_starts_s) < self._cold_rate_per_s
 
     def _start(self, offer, now):
-        self._running[offer.number] = (now, offer)
-        self._cold_starts.append(now)
-        if self._cold_rate is None and len(self._cold_starts) > self.slots * 64:
-            self._cold_starts.popleft()
+        self._running_by_number[offer.number] = (now, offer)
+        self._recent_starts_s.append(now)
+        if (
+            self._cold_rate_per_s is None
+            and len(self._recent_starts_s) > self.slots * 64
+        ):
+            self._recent_starts_s.popleft()
         return Start(offer.number)
 
     @property
-    def _full_kind(self):
+    def _refusal_kind(self):
         return ErrorKind.TARGET_COLD if self.is_cold else ErrorKind.QUEUE_FULL
 
     def refuse(self, offer, wait_s):
         """Return the ``Refuse`` of a request that would have had to wait so long."""
-        after_s = wait_s * (1 + SPREAD * self._random())
-        after_s = min(max(after_s, SHORTEST_RETRY_S), LONGEST_RETRY_S)
-        return Refuse(offer.number, self._full_kind, after_s)
+        retry_after_s = wait_s * (1 + RETRY_JITTER_FACTOR * self._random())
+        retry_after_s = min(max(retry_after_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
+        return Refuse(offer.number, self._refusal_kind, retry_after_s)
 
-    def _wait_s(self, offer, now):
+    def _estimated_wait_s(self, offer, now):
         """Return about how long ``offer`` would wait for its start."""
         rank = self._rank(offer, now)
         ahead = [
             waiting
-            for _, waiting in self._waiting.values()
+            for _, waiting in self._waiting_by_number.values()
             if self._rank(waiting, now) <= rank
         ]
-        wait_s = self._slot_free_in_s(ahead)
-        if self._cold_rate is not None:
-            wait_s = max(wait_s, (len(ahead) + 1) / self._cold_rate)
+        wait_s = self._slot_wait_s(ahead)
+        if self._cold_rate_per_s is not None:
+            wait_s = max(wait_s, (len(ahead) + 1) / self._cold_rate_per_s)
         return wait_s
 
-    def _slot_free_in_s(self, ahead):
+    def _slot_wait_s(self, ahead):
         """Return about when a slot is left after those ahead have each taken one.
 
         Failure: all work that is ahead, divided by the slots, is when the last of it
@@ -279,13 +285,15 @@
         many running requests, whose times vary a lot, the first one ends after one
         part in so many of their mean time, however long they have run.
         """
-        if len(self._running) < self.slots:
+        if len(self._running_by_number) < self.slots:
             return 0.0
-        mean_s = [self._mean_s(each) for _, each in self._running.values()]
-        first_s = sum(mean_s) / len(mean_s)
-        return (first_s + sum(map(self._mean_s, ahead))) / max(self.slots, 1)
+        mean_s = [
+            self._mean_work_s(each) for _, each in self._running_by_number.values()
+        ]
+        first_end_s = sum(mean_s) / len(mean_s)
+        return (first_end_s + sum(map(self._mean_work_s, ahead))) / max(self.slots, 1)
 
-    def _mean_s(self, offer):
+    def _mean_work_s(self, offer):
         return self._work_by_route[offer.route].mean_s
 
     def _rank(self, offer, now):
@@ -303,38 +311,38 @@
 
     def finish(self, number, worked, now):
         """Take in the end of a request; ``worked`` if the target answered it."""
-        started = self._running.pop(number, None)
-        if started is not None and worked:
-            since, offer = started
-            self._work_by_route[offer.route].add(now - since)
-            self._all_work.add(now - since)
+        entry = self._running_by_number.pop(number, None)
+        if entry is not None and worked:
+            started_s, offer = entry
+            self._work_by_route[offer.route].add(now - started_s)
+            self._overall_work.add(now - started_s)
         return self.settle(now)
 
     def withdraw(self, number, now):
         """Forget a waiting request that nobody wants any more."""
-        self._waiting.pop(number, None)
+        self._waiting_by_number.pop(number, None)
         return self.settle(now)
 
     def settle(self, now):
         """Return the decisions on waiting requests that are due."""
         decisions = []
-        for number, (_, offer) in list(self._waiting.items()):
-            if self._waits_in_vain(offer, now):
-                del self._waiting[number]
-                decisions.append(self.refuse(offer, SHORTEST_RETRY_S))
-        while self._waiting and self._has_room(now):
+        for number, (_, offer) in list(self._waiting_by_number.items()):
+            if self._should_drop(offer, now):
+                del self._waiting_by_number[number]
+                decisions.append(self.refuse(offer, MIN_RETRY_AFTER_S))
+        while self._waiting_by_number and self._has_room(now):
             number = min(
-                self._waiting,
+                self._waiting_by_number,
                 key=lambda each: (
-                    self._rank(self._waiting[each][1], now),
-                    self._waiting[each][0],
+                    self._rank(self._waiting_by_number[each][1], now),
+                    self._waiting_by_number[each][0],
                 ),
             )
-            _, offer = self._waiting.pop(number)
+            _, offer = self._waiting_by_number.pop(number)
             decisions.append(self._start(offer, now))
         return decisions
 
-    def _waits_in_vain(self, offer, now):
+    def _should_drop(self, offer, now):
         """Whether a waiting request has no chance any more.
 
         In lasting overload those that can still be in time go first, so one that is
@@ -344,4 +352,8 @@
         if now + work_s / 2 > offer.deadline_s:
             return True
         is_late = now + work_s > offer.objective_s and not self._is_short(offer)
-        return is_late and self._is_overloaded(now) and len(self._waiting) > self.slots
+        return (
+            is_late
+            and self._is_overloaded(now)
+            and len(self._waiting_by_number) > self.slots
+        )
--- a/tamarackhaven/sidecar/_intake.py
+++ b/tamarackhaven/sidecar/_intake.py
@@ -9,7 +9,7 @@
 
 # Looked at again when nothing else happens: a sender may have stopped, and what can't
 # arrive in time any more is refused.
-SETTLE_S = 0.05
+REVIEW_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False)
@@ -50,7 +50,7 @@
         self._metrics = metrics
         self._arrivals = Arrivals(gate)
         self._offer_by_body = {}
-        self._settling = None
+        self._review_timer = None
 
     @property
     def left_bytes(self):
@@ -71,14 +71,14 @@
         body.end = asyncio.get_running_loop().create_future()
         self._offer_by_body[body] = offer
         self._arrivals.announce(body, body.size, offer)
-        self._ask()
+        self._request_parts()
         try:
             return await body.end
         finally:
             self._arrivals.drop(body)
             del self._offer_by_body[body]
             body.end = None
-            self._ask()
+            self._request_parts()
 
     def take(self, body, offset, data):
         """Take in a part of a body."""
@@ -88,26 +88,26 @@
         body.data += data
         if len(body.data) == body.size and not body.end.done():
             body.end.set_result(bytes(body.data))
-        self._ask()
+        self._request_parts()
 
     def renew(self, body):
         """Ask again for what was lost with a link."""
         self._arrivals.renew(body)
-        self._ask()
+        self._request_parts()
 
-    def _ask(self):
+    def _request_parts(self):
         for part in self._arrivals.asks(boot_s()):
             part.key.ask(part.offset, part.count)
-        if self._settling is None and self._offer_by_body:
+        if self._review_timer is None and self._offer_by_body:
             loop = asyncio.get_running_loop()
-            self._settling = loop.call_later(SETTLE_S, self._settle)
+            self._review_timer = loop.call_later(REVIEW_INTERVAL_S, self._review)
 
-    def _settle(self):
-        self._settling = None
+    def _review(self):
+        self._review_timer = None
         for body, wait_s in self._arrivals.in_vain(boot_s()):
             self._arrivals.drop(body)
             if not body.end.done():
                 body.end.set_result(
                     self._gate.refuse(self._offer_by_body[body], wait_s)
                 )
-        self._ask()
+        self._request_parts()
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -5,7 +5,7 @@
 from tamarackhaven._clock import boot_s
 from tamarackhaven.sidecar._called_holds import (
     CALL_TIMEOUT_S,
-    MOST_OPEN,
+    MAX_OPEN_GRANTS,
     RELEASE_TIMEOUT_S,
     CalledHolds,
     OrderEnd,
@@ -14,7 +14,7 @@
 from tamarackhaven.sidecar._target_client import SendEnd, any_reply
 
 # What is due without any event: renewals, and calls that failed.
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 class KeyCalls:
@@ -56,7 +56,7 @@
         try:
             while True:
                 self.kick()
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -69,7 +69,7 @@
         life. Limit: connections of their own for as many calls as go side by side.
         """
         if isinstance(self._state.keys, CalledHolds):
-            self._start(self._grants_client.keep(MOST_OPEN))
+            self._start(self._grants_client.keep(MAX_OPEN_GRANTS))
 
     def kick(self):
         """Make the calls that are due now."""
@@ -77,14 +77,14 @@
         if not isinstance(keys, CalledHolds):
             return
         for order in keys.due(boot_s()):
-            self._start(self._carry_out(keys, order))
+            self._start(self._execute(keys, order))
 
     def _start(self, coroutine):
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry_out(self, keys, order):
+    async def _execute(self, keys, order):
         end, handover, detail = OrderEnd.UNANSWERED, "", ""
         try:
             end, handover, detail = await self._call(order)
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -13,11 +13,11 @@
 
 # A target's clock may run this part slow, so that what it is told to hold lasts
 # longer; the platform names 2%, the rest is for the way of the answer.
-HOLD_STRETCH = 1.025
+SLOW_CLOCK_FACTOR = 1.025
 # A hold shorter than this has run out before the target has read of it.
-SHORTEST_HOLD_S = 0.1
+MIN_HOLD_S = 0.1
 # Releases are told to the leader for so long; it needs them within a heartbeat.
-RELEASE_KEPT_S = 15.0
+RELEASE_TTL_S = 15.0
 
 
 @attrs.frozen
@@ -66,17 +66,17 @@
         """Log index of the owners that the newest grant goes by, -1 without one."""
         return self._grant.keys_index if self._grant else -1
 
-    def _longest_hold_s(self, now, delay_s=0.0):
+    def _max_hold_s(self, now, delay_s=0.0):
         """Return for how long the target may be told to hold, below 0 if not at all.
 
         The hold may begin ``delay_s`` seconds later than ``now``.
         """
-        hold_s = (self._lease_until_s - now - delay_s) / HOLD_STRETCH
+        hold_s = (self._lease_until_s - now - delay_s) / SLOW_CLOCK_FACTOR
         return min(hold_s, self._lease.longest_hold_s)
 
-    def _note_releases(self, releases, now):
+    def _record_releases(self, releases, now):
         self._releases = [
-            (at, each) for at, each in self._releases if now - at < RELEASE_KEPT_S
+            (at, each) for at, each in self._releases if now - at < RELEASE_TTL_S
         ]
         self._releases += [(now, each) for each in releases]
 
@@ -117,25 +117,25 @@
 
     def __init__(self, lease, life):
         super().__init__(lease, life)
-        self._told = GrantId()
+        self._sent_grant = GrantId()
         self._settled = GrantId()
-        self._held = ()
-        self._held_until_s = float("-inf")
-        self._beat = None
-        self._heard_s = float("-inf")
+        self._sent_ranges = ()
+        self._sent_until_s = float("-inf")
+        self._heartbeat = None
+        self._heartbeat_received_s = float("-inf")
 
     def heard(self, beat, now):
         """Take in a heartbeat of this life; return the ``HeartbeatReply``."""
-        self._settled = self._told
-        self._beat = beat
-        self._heard_s = now
-        self._note_releases(beat.releases, now)
-        hold_s = self._longest_hold_s(now)
-        if self._grant is None or hold_s < SHORTEST_HOLD_S:
+        self._settled = self._sent_grant
+        self._heartbeat = beat
+        self._heartbeat_received_s = now
+        self._record_releases(beat.releases, now)
+        hold_s = self._max_hold_s(now)
+        if self._grant is None or hold_s < MIN_HOLD_S:
             return HeartbeatReply()
-        self._told = self._grant.grant
-        self._held = self._grant.ranges
-        self._held_until_s = now + hold_s
+        self._sent_grant = self._grant.grant
+        self._sent_ranges = self._grant.ranges
+        self._sent_until_s = now + hold_s
         return HeartbeatReply(self._grant.ranges, hold_s)
 
     def holds(self, key, now):
@@ -146,18 +146,18 @@
         later. Enough: what it says that it holds counts until then; a target that
         holds no longer refuses the request itself.
         """
-        held = self._held
-        if now >= self._held_until_s:
-            is_fresh = now - self._heard_s < self._lease.heartbeat_s
-            is_restarted = self._told == GrantId()
+        held = self._sent_ranges
+        if now >= self._sent_until_s:
+            is_fresh = now - self._heartbeat_received_s < self._lease.heartbeat_s
+            is_restarted = self._sent_grant == GrantId()
             if not (is_fresh and is_restarted):
                 return False
-            held = self._beat.holds
+            held = self._heartbeat.holds
         return _covers(held, key)
 
     def held(self, now):
         """Return what the newest heartbeat says, as a tuple of ``Hold``."""
-        return self._beat.holds if self._beat else ()
+        return self._heartbeat.holds if self._heartbeat else ()
 
     @property
     def settled(self):
--- a/tamarackhaven/sidecar/_key_load.py
+++ b/tamarackhaven/sidecar/_key_load.py
@@ -6,13 +6,13 @@
 
 # Load: busy keys change within seconds. Harm: a long memory moves keys that are no
 # longer busy, a short one follows chance. Limit: a count loses half in this time.
-HALF_LIFE_S = 1.5
+RATE_HALF_LIFE_S = 1.5
 # A bucket with less than this many requests a second is soon forgotten.
-LEAST_RATE = 0.15
+MIN_RATE_PER_S = 0.15
 # Load: tens of thousands of keys, each asked for now and then. Harm: all of them in
 # each report are most of the bytes between zones. Limit: the busiest decide which keys
 # move; the others count as spread evenly.
-MOST_REPORTED = 64
+MAX_REPORTED_BUCKETS = 64
 
 
 class KeyLoad:
@@ -33,14 +33,14 @@
             self._decayed_s = now
         # Once a while is enough: the loss within it is a few parts in a hundred.
         elapsed_s = now - self._decayed_s
-        if elapsed_s < HALF_LIFE_S / 16:
+        if elapsed_s < RATE_HALF_LIFE_S / 16:
             return
-        factor = 0.5 ** (elapsed_s / HALF_LIFE_S)
+        factor = 0.5 ** (elapsed_s / RATE_HALF_LIFE_S)
         self._decayed_s = now
         self._count_by_bucket = {
             bucket: count * factor
             for bucket, count in self._count_by_bucket.items()
-            if count * factor > LEAST_RATE / 4
+            if count * factor > MIN_RATE_PER_S / 4
         }
 
     def rates(self, now):
@@ -52,7 +52,7 @@
             The busiest buckets with their rates, and the rate of all others.
         """
         self._decay(now)
-        per_s = math.log(2) / HALF_LIFE_S
+        per_s = math.log(2) / RATE_HALF_LIFE_S
         rates = sorted(
             (
                 (count * per_s, bucket)
@@ -61,7 +61,7 @@
             reverse=True,
         )
         busiest = tuple(
-            (bucket, round(rate, 2)) for rate, bucket in rates[:MOST_REPORTED]
+            (bucket, round(rate, 2)) for rate, bucket in rates[:MAX_REPORTED_BUCKETS]
         )
-        rest = sum(rate for rate, _ in rates[MOST_REPORTED:])
-        return busiest, round(rest, 2)
+        other_rate = sum(rate for rate, _ in rates[MAX_REPORTED_BUCKETS:])
+        return busiest, round(other_rate, 2)
--- a/tamarackhaven/sidecar/_offers.py
+++ b/tamarackhaven/sidecar/_offers.py
@@ -13,7 +13,7 @@
 # A question and its answer are some hundred bytes and take some milliseconds. With
 # seven in ten targets full, three questions find a free one in two of three cases; a
 # fourth adds less than a tenth.
-MOST_ASKED = 3
+MAX_WAIT_QUERIES = 3
 
 
 @attrs.frozen
@@ -48,14 +48,14 @@
     _chooser: object
     _route: str
     _body_bytes: int = 0
-    _closed: set = attrs.field(init=False, factory=set)
+    _closed_lives: set = attrs.field(init=False, factory=set)
     _wait_s_by_life: dict = attrs.field(init=False, factory=dict)
-    _has_asked: bool = attrs.field(init=False, default=False)
+    _has_queried: bool = attrs.field(init=False, default=False)
 
     @property
     def has_closed(self):
         """Whether any target has been tried."""
-        return bool(self._closed)
+        return bool(self._closed_lives)
 
     def next(self, targets, now):
         """Return ``Send``, ``Ask``, or None if no target is left.
@@ -67,39 +67,41 @@
         now : float
             Seconds of the boot clock.
         """
-        open_ = [each for each in targets if each.life not in self._closed]
-        if not open_:
+        candidates = [each for each in targets if each.life not in self._closed_lives]
+        if not candidates:
             return None
         if not self._wait_s_by_life:
-            target = self._pick(open_, now)
-            is_only = len(open_) == 1 or self._has_asked
+            target = self._pick(candidates, now)
+            is_only = len(candidates) == 1 or self._has_queried
             return Send(target, waits=is_only)
-        if not self._has_asked:
-            self._has_asked = True
-            others = self._others(open_, now)
-            if others:
-                return Ask(others)
-        known = [each for each in open_ if each.life in self._wait_s_by_life]
-        if known:
-            return Send(min(known, key=self._wait_s), waits=True)
-        return Send(self._pick(open_, now), waits=True)
-
-    def _others(self, targets, now):
+        if not self._has_queried:
+            self._has_queried = True
+            queried = self._targets_to_query(candidates, now)
+            if queried:
+                return Ask(queried)
+        answered = [each for each in candidates if each.life in self._wait_s_by_life]
+        if answered:
+            return Send(min(answered, key=self._wait_s), waits=True)
+        return Send(self._pick(candidates, now), waits=True)
+
+    def _targets_to_query(self, targets, now):
         """Return the best targets of which no wait is known."""
-        left = [each for each in targets if each.life not in self._wait_s_by_life]
-        others = []
-        while left and len(others) < MOST_ASKED:
-            others.append(self._pick(left, now))
-            left.remove(others[-1])
-        return tuple(others)
+        unqueried = [each for each in targets if each.life not in self._wait_s_by_life]
+        queried = []
+        while unqueried and len(queried) < MAX_WAIT_QUERIES:
+            queried.append(self._pick(unqueried, now))
+            unqueried.remove(queried[-1])
+        return tuple(queried)
 
     def _pick(self, targets, now):
         body_bytes = self._body_bytes
         return self._chooser.pick(targets, self._route, now, body_bytes=body_bytes)
 
     def _wait_s(self, target):
-        crossing_s = self._chooser.crossing_ms(target, self._body_bytes) / 1000
-        return self._wait_s_by_life[target.life] + crossing_s
+        cross_zone_cost_s = (
+            self._chooser.cross_zone_cost_ms(target, self._body_bytes) / 1000
+        )
+        return self._wait_s_by_life[target.life] + cross_zone_cost_s
 
     def busy(self, target, wait_s):
         """Note the wait that a target told, in seconds."""
@@ -107,5 +109,5 @@
 
     def close(self, target):
         """Note that a target needs not be tried again."""
-        self._closed.add(target.life)
+        self._closed_lives.add(target.life)
         self._wait_s_by_life.pop(target.life, None)
--- a/tamarackhaven/sidecar/_runs.py
+++ b/tamarackhaven/sidecar/_runs.py
@@ -8,15 +8,15 @@
 
 # A daemon that lost its link asks again on a new one, until the request's time is over;
 # this long after that nobody does.
-KEPT_S = 2.0
-SAFE_KEPT_S = 4.0
+RESULT_TTL_S = 2.0
+MAX_SAFE_LEFT_S = 4.0
 # A copy of a forward may stand in the buffers of a small link for so long after that.
-SPENT_S = 60.0
+COMPLETED_KEY_TTL_S = 60.0
 # Load: many bookings a second. Harm: their names fill the memory. Limit: megabytes;
 # the oldest give way.
-MOST_SPENT = 20_000
+MAX_COMPLETED_KEYS = 20_000
 # How often what has ended is looked through.
-LOOK_S = 0.5
+CLEANUP_INTERVAL_S = 0.5
 # A link that breaks is dialled again within this time, if its daemon still runs.
 REATTACH_S = 0.4
 
@@ -33,10 +33,10 @@
     def __init__(self, inbound):
         self._inbound = inbound
         self._task_by_key = {}
-        self._next_look_s = 0.0
+        self._next_cleanup_s = 0.0
         self._forward_by_key = {}
-        self._kept_until_s_by_key = {}
-        self._spent_until_s_by_key = {}
+        self._retained_until_s_by_key = {}
+        self._completed_until_s_by_key = {}
 
     def expected_wait_s(self, query):
         """Return how long a request would wait here, None if none is taken."""
@@ -55,8 +55,8 @@
             Its body, if that has yet to come.
         """
         task = self._task_by_key.get(key)
-        if task is None and key in self._spent_until_s_by_key:
-            return _lost(forward)
+        if task is None and key in self._completed_until_s_by_key:
+            return _lost_future(forward)
         if task is None:
             run = self._inbound.run(forward, incoming)
             task = asyncio.get_running_loop().create_task(run)
@@ -66,35 +66,35 @@
             left_s = max(forward.left_ms, 0.0) / 1000
             if forward.is_safe:
                 # It may run again; kept for minutes, answers would fill the memory.
-                left_s = min(left_s, SAFE_KEPT_S)
-            self._kept_until_s_by_key[key] = boot_s() + left_s + KEPT_S
+                left_s = min(left_s, MAX_SAFE_LEFT_S)
+            self._retained_until_s_by_key[key] = boot_s() + left_s + RESULT_TTL_S
             self._task_by_key[key] = task
             self._forward_by_key[key] = forward
-            self._forget_old()
+            self._drop_finished()
         return task
 
-    def _forget_old(self):
+    def _drop_finished(self):
         """Forget what ended and can't be asked for any more."""
         now = boot_s()
-        if now < self._next_look_s:
+        if now < self._next_cleanup_s:
             return
-        self._next_look_s = now + LOOK_S
-        for key, until_s in list(self._kept_until_s_by_key.items()):
+        self._next_cleanup_s = now + CLEANUP_INTERVAL_S
+        for key, until_s in list(self._retained_until_s_by_key.items()):
             if until_s < now and self._task_by_key[key].done():
-                del self._kept_until_s_by_key[key]
+                del self._retained_until_s_by_key[key]
                 del self._task_by_key[key]
                 if not self._forward_by_key.pop(key).is_safe:
-                    self._spent_until_s_by_key[key] = now + SPENT_S
-        self._forget_spent(now)
+                    self._completed_until_s_by_key[key] = now + COMPLETED_KEY_TTL_S
+        self._drop_completed_keys(now)
 
-    def _forget_spent(self, now):
+    def _drop_completed_keys(self, now):
         """Forget unsafe requests of which no copy can be on its way any more."""
-        spent = self._spent_until_s_by_key
-        while spent:
-            oldest = next(iter(spent))
-            if spent[oldest] >= now and len(spent) <= MOST_SPENT:
+        completed = self._completed_until_s_by_key
+        while completed:
+            oldest = next(iter(completed))
+            if completed[oldest] >= now and len(completed) <= MAX_COMPLETED_KEYS:
                 return
-            del spent[oldest]
+            del completed[oldest]
 
     def cancel(self, key):
         """Stop a request that nobody waits for any more.
@@ -119,8 +119,8 @@
             raise
 
 
-def _lost(forward):
+def _lost_future(forward):
     """Return the end of an unsafe request that ran once and is forgotten."""
-    ended = asyncio.get_running_loop().create_future()
-    ended.set_result(Lost(forward.number, ErrorKind.FORWARD_LOST.name))
-    return ended
+    lost = asyncio.get_running_loop().create_future()
+    lost.set_result(Lost(forward.number, ErrorKind.FORWARD_LOST.name))
+    return lost
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -29,8 +29,8 @@
 
 SERVICE = "owned"
 STEP_S = 0.04
-REPORT_S = 0.4
-HEARTBEAT_S = 0.9
+REPORT_INTERVAL_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.9
 SLOWEST_CLOCK = 0.98
 ADDRESS = "10.0.0.1:80"
 SETTINGS = DaemonSettings(
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class Held:
+class HeldRange:
     """Keys that a played target holds."""
 
     first: int
@@ -59,7 +59,7 @@
     until_s: float
 
 
-class PlayedTarget:
+class SimulatedTarget:
     """One life of a target; its clock is as slow as it may be."""
 
     def __init__(self, world, name, born_ms):
@@ -81,16 +81,16 @@
         ):
             return False
         self.seen.append(order)
-        self.world.took(self, order)
-        self._cut(order, order.fence)
-        self.held.append(Held(order.first, order.last, order.fence, until_s))
+        self.world.check_token(self, order)
+        self._remove_keys(order, order.fence)
+        self.held.append(HeldRange(order.first, order.last, order.fence, until_s))
         return True
 
     def release(self, order):
         """Carry out a release."""
-        self._cut(order, order.fence)
+        self._remove_keys(order, order.fence)
 
-    def _cut(self, keys, fence):
+    def _remove_keys(self, keys, fence):
         kept = []
         for each in self.held:
             if not overlaps(each, keys) or each.fence > fence:
@@ -103,7 +103,7 @@
         self.held = kept
 
 
-class Machine:
+class VM:
     """A VM with a target and its daemon."""
 
     def __init__(self, world, number):
@@ -123,17 +123,17 @@
 
     def restart_target(self):
         """Begin with a target that holds nothing."""
-        born_ms = next(self.world.births)
-        self.target = PlayedTarget(self.world, f"i-{self.host}", born_ms)
+        born_ms = next(self.world.birth_times_ms)
+        self.target = SimulatedTarget(self.world, f"i-{self.host}", born_ms)
         self.next_beat_s = self.world.now
 
     def step(self):
         world = self.world
         if world.now >= self.next_beat_s:
-            self.next_beat_s = world.now + HEARTBEAT_S
+            self.next_beat_s = world.now + HEARTBEAT_INTERVAL_S
             self.beat()
         if world.now >= self.next_report_s:
-            self.next_report_s = world.now + REPORT_S
+            self.next_report_s = world.now + REPORT_INTERVAL_S
             self.report()
         keys = self.state.keys
         if keys is not None:
@@ -180,10 +180,10 @@
         world, target, boot = self.world, self.target, self.boot
         is_release = isinstance(order, ReleaseOrder)
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
-        arrives_s = world.random.uniform(0.0, 0.02)
-        fate = 1.0 if world.is_calm else world.random.random()
+        arrival_delay_s = world.random.uniform(0.0, 0.02)
+        outcome = 1.0 if world.is_calm else world.random.random()
 
-        def carry_out(arrived_s):
+        def execute(arrived_s):
             if target is not self.target:
                 return OrderEnd.UNANSWERED
             if is_release:
@@ -192,27 +192,27 @@
                 return OrderEnd.SUPERSEDED
             return OrderEnd.DONE
 
-        def end(how):
+        def end(result):
             if boot == self.boot and self.state.keys is keys:
-                keys.ended(order, how, world.now, "token")
+                keys.ended(order, result, world.now, "token")
 
-        if fate < world.faults * 0.5:
+        if outcome < world.faults * 0.5:
             # It arrives just before the timeout, or is carried out later.
-            arrives_s = world.random.uniform(0.0, CALL_TIMEOUT_S)
-            arrived_s = world.now + arrives_s
-            late_s = world.random.choice((0.0, world.random.uniform(2.0, 12.0)))
-            world.later(arrives_s + late_s, lambda: carry_out(arrived_s))
+            arrival_delay_s = world.random.uniform(0.0, CALL_TIMEOUT_S)
+            arrived_s = world.now + arrival_delay_s
+            extra_delay_s = world.random.choice((0.0, world.random.uniform(2.0, 12.0)))
+            world.later(arrival_delay_s + extra_delay_s, lambda: execute(arrived_s))
             world.later(timeout_s, lambda: end(OrderEnd.UNANSWERED))
-        elif fate < world.faults:
+        elif outcome < world.faults:
             world.later(timeout_s, lambda: end(OrderEnd.UNANSWERED))
         else:
             answer_s = world.random.uniform(0.0, 0.3) if is_release else 0.01
 
             def arrive():
-                how = carry_out(world.now)
-                world.later(answer_s, lambda: end(how))
+                result = execute(world.now)
+                world.later(answer_s, lambda: end(result))
 
-            world.later(arrives_s, arrive)
+            world.later(arrival_delay_s, arrive)
 
 
 class World:
@@ -233,9 +233,9 @@
         self.random = random.Random(seed)
         self.faults = faults
         self.now = 100.0
-        self.births = itertools.count(1)
-        self._due = []
-        self._taken = set()
+        self.birth_times_ms = itertools.count(1)
+        self._scheduled = []
+        self._tokens_taken = set()
         self.state = FleetState()
         service = ServiceSpec(SERVICE, sharded=True, hold_orders=HoldOrders.CALLS)
         first = ReplaceConfiguration(0, Configuration(1, (service,)), "first")
@@ -243,21 +243,21 @@
         self.index = 1
         self.lease_s = SETTINGS.lease.lease_s
         self.leader = Leadership(1, self.lease_s, self.now)
-        self.machines = [Machine(self, number) for number in range(1, 4)]
+        self.vms = [VM(self, number) for number in range(1, 4)]
 
     def later(self, delay_s, action):
         """Do something in ``delay_s`` seconds."""
-        self._due.append((self.now + delay_s, action))
+        self._scheduled.append((self.now + delay_s, action))
 
-    def answer(self, machine, report, asked_s, boot):
+    def answer(self, vm, report, asked_s, boot):
         """Play the leader's part of one report."""
         leader = self.leader
         leader.report(report, self.now)
         grant = leader.grant(report, self.state, self.now)
 
         def arrive():
-            if machine.boot == boot:
-                machine.state.take_grant(grant, asked_s)
+            if vm.boot == boot:
+                vm.state.take_grant(grant, asked_s)
 
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
@@ -266,40 +266,40 @@
         until_s = self.now + seconds
         while self.now < until_s:
             self.now += STEP_S
-            due = [each for each in self._due if each[0] <= self.now]
-            self._due = [each for each in self._due if each[0] > self.now]
+            due = [each for each in self._scheduled if each[0] <= self.now]
+            self._scheduled = [each for each in self._scheduled if each[0] > self.now]
             for _, action in sorted(due, key=lambda each: each[0]):
                 action()
             if not self.is_calm:
-                self._draw()
-            for machine in self.machines:
-                machine.step()
-            self.decide()
+                self._inject_fault()
+            for vm in self.vms:
+                vm.step()
+            self.run_leader()
             self.check()
 
-    def decide(self):
+    def run_leader(self):
         """Play a look of the leader; what it decides is committed at once."""
         for command in self.leader.tick(self.state, self.now):
             self.index += 1
             self.state.apply(self.index, command)
 
-    def _draw(self):
-        machine = self.random.choice(self.machines)
-        drawn = self.random.random()
-        if drawn < 0.001:
-            machine.restart_daemon()
-        elif drawn < 0.0015:
-            machine.restart_target()
-        elif drawn < 0.0025:
-            machine.next_report_s = self.now + self.random.uniform(1.0, 6.0)
-        elif drawn < 0.003:
+    def _inject_fault(self):
+        vm = self.random.choice(self.vms)
+        draw = self.random.random()
+        if draw < 0.001:
+            vm.restart_daemon()
+        elif draw < 0.0015:
+            vm.restart_target()
+        elif draw < 0.0025:
+            vm.next_report_s = self.now + self.random.uniform(1.0, 6.0)
+        elif draw < 0.003:
             self.leader = Leadership(self.leader.term + 1, self.lease_s, self.now)
 
     def check(self):
         """Fail if two lives hold one key, or a token doesn't rise."""
         held = []
-        for machine in self.machines:
-            target = machine.target
+        for vm in self.vms:
+            target = vm.target
             target.held = [each for each in target.held if each.until_s > self.now]
             held += [(target, each) for each in target.held]
         for (one, a), (other, b) in itertools.combinations(held, 2):
@@ -308,30 +308,28 @@
                     f"{self.now:.2f}: {one.name} {a}, {other.name} {b}"
                 )
 
-    def took(self, target, order):
+    def check_token(self, target, order):
         """Fail if a life takes a token that isn't above all that others had."""
-        taken = (target, order.first, order.last, order.fence)
-        if taken in self._taken:
+        entry = (target, order.first, order.last, order.fence)
+        if entry in self._tokens_taken:
             return
-        for life, first, last, fence in self._taken:
+        for life, first, last, fence in self._tokens_taken:
             keys = attrs.evolve(order, first=first, last=last)
             if life is not target and overlaps(keys, order) and fence >= order.fence:
                 raise TwoHoldersError(f"token {order.fence} after {fence}")
-        self._taken.add(taken)
+        self._tokens_taken.add(entry)
 
     def served(self):
         """Return the part of the keys that some target holds now."""
         count = sum(
-            each.last - each.first + 1
-            for machine in self.machines
-            for each in machine.target.held
+            each.last - each.first + 1 for vm in self.vms for each in vm.target.held
         )
         return count / 65536
 
 
-def with_holds(holds):
+def holds_by_orders_with(holds):
     """Return the table by which ``TargetState`` makes its books, with another class."""
     return {**_target_state._HOLDS_BY_ORDERS, HoldOrders.CALLS: holds}
 
 
-__all__ = ["CalledHolds", "TwoHoldersError", "World", "with_holds"]
+__all__ = ["CalledHolds", "TwoHoldersError", "World", "holds_by_orders_with"]
--- a/tests/sidecar/test_arrivals.py
+++ b/tests/sidecar/test_arrivals.py
@@ -6,38 +6,38 @@
 
 from standin.simulated_link import Patience, SimulatedLink
 from tamarackhaven.sidecar._arrivals import (
-    LEAST_PART_BYTES,
-    LEAST_PARTS,
-    STALLED_S,
+    MIN_PART_BYTES,
+    MIN_PARTS_IN_FLIGHT,
+    STALL_TIMEOUT_S,
     Arrivals,
 )
 from tamarackhaven.sidecar._gate import Offer
 
 NARROW_BYTES_PER_S = 412_500.0
 # What a short call may lose behind bodies, of the 0.2 s that it has.
-CALL_WAITS_S = 0.1
+MAX_CALL_WAIT_S = 0.1
 
 
 def offer(objective_s=1.0, deadline_s=3.0, priority=1):
     return Offer(0, "r", priority, objective_s, deadline_s)
 
 
-def test_a_link_that_is_full_for_long_keeps_a_short_queue():
+def test_a_saturated_link_keeps_a_short_queue():
     # Guards against: the round trip is judged by parts that stood behind others, so
     # that the longer the queue is, the longer it may be.
     link = SimulatedLink(NARROW_BYTES_PER_S)
     for number in range(400):
         link.arrivals.announce(number, 60_000, offer(1000.0, 1000.0))
     link.run(20.0)
-    assert link.longest_queue_s < CALL_WAITS_S
+    assert link.longest_queue_s < MAX_CALL_WAIT_S
     assert link.came_bytes > 0.9 * 20.0 * NARROW_BYTES_PER_S
 
 
 @pytest.mark.parametrize(
-    ("bytes_per_s", "way_s"), [(10e6, 0.07), (100e6, 0.001), (1e6, 0.02)]
+    ("bytes_per_s", "latency_s"), [(10e6, 0.07), (100e6, 0.001), (1e6, 0.02)]
 )
-def test_a_long_way_or_a_fast_link_is_used(bytes_per_s, way_s):
-    link = SimulatedLink(bytes_per_s, way_s)
+def test_a_link_with_high_latency_or_throughput_is_utilized(bytes_per_s, latency_s):
+    link = SimulatedLink(bytes_per_s, latency_s)
     for number in range(40):
         link.arrivals.announce(number, int(bytes_per_s), offer(1000.0, 1000.0))
     link.run(10.0)
@@ -46,7 +46,7 @@
     assert link.came_bytes - came_bytes > 0.5 * 10.0 * bytes_per_s
 
 
-def test_a_slow_sender_leaves_the_link_to_the_others():
+def test_a_stalled_sender_does_not_block_the_others():
     # Guards against: a daemon that stands still has all parts that may be on their way.
     arrivals = Arrivals(Patience())
     arrivals.announce("frozen", 10_000, offer())
@@ -58,52 +58,56 @@
         if part.key == "other":
             now += 0.01
             arrivals.came(part.key, part.offset, part.count, now)
-    later = arrivals.asks(now + STALLED_S)
-    assert sum(part.count for part in later) >= (LEAST_PARTS - 1) * LEAST_PART_BYTES
-    assert {part.key for part in later} == {"other"}
+    later_parts = arrivals.asks(now + STALL_TIMEOUT_S)
+    assert (
+        sum(part.count for part in later_parts)
+        >= (MIN_PARTS_IN_FLIGHT - 1) * MIN_PART_BYTES
+    )
+    assert {part.key for part in later_parts} == {"other"}
 
 
-def test_more_bodies_are_in_time_than_in_the_order_in_which_they_came():
+def test_more_bodies_are_in_time_than_in_order_of_arrival():
     # Load: half as many bytes again as the link carries, in bodies of many sizes. In
     # order of arrival each is later than the one before, and most are late.
     source = random.Random(5)
     sizes = [int(60_000 * source.lognormvariate(-0.2, 0.6)) for _ in range(300)]
-    pause_s = sum(sizes) / len(sizes) / NARROW_BYTES_PER_S / 1.5
+    interval_s = sum(sizes) / len(sizes) / NARROW_BYTES_PER_S / 1.5
     link = SimulatedLink(NARROW_BYTES_PER_S)
-    refused = free_s = in_order = 0
+    refused = link_free_s = in_time_in_order = 0
     for number, size in enumerate(sizes):
-        at_s = number * pause_s
+        at_s = number * interval_s
         link.run(at_s)
         link.arrivals.announce(number, size, offer(at_s + 1.0, at_s + 3.0))
         for key, _ in link.arrivals.in_vain(at_s):
             link.arrivals.drop(key)
             refused += 1
-        free_s = max(free_s, at_s) + size / NARROW_BYTES_PER_S
-        in_order += free_s <= at_s + 1.0
+        link_free_s = max(link_free_s, at_s) + size / NARROW_BYTES_PER_S
+        in_time_in_order += link_free_s <= at_s + 1.0
     in_time = sum(
-        whole_s <= key * pause_s + 1.0 for key, whole_s in link.whole_s_by_key.items()
+        whole_s <= key * interval_s + 1.0
+        for key, whole_s in link.whole_s_by_key.items()
     )
-    assert in_time > 2 * in_order
+    assert in_time > 2 * in_time_in_order
     # What is refused was not begun, so that nearly all that came was of use.
     assert refused + in_time > 0.9 * len(sizes)
 
 
-def test_a_body_is_refused_once_its_line_is_too_long_and_not_when_it_has_begun():
+def test_only_bodies_that_have_not_begun_are_refused_for_a_long_queue():
     arrivals = Arrivals(Patience())
     for number in range(30):
         arrivals.announce(number, 60_000, offer())
     assert not arrivals.in_vain(0.0)
-    begun = set()
+    begun_keys = set()
     for part in arrivals.asks(0.0):
-        begun.add(part.key)
+        begun_keys.add(part.key)
         arrivals.came(part.key, part.offset, part.count, 0.01)
     refused = {key for key, _ in arrivals.in_vain(0.02)}
     assert refused
-    assert not refused & begun
-    assert len(refused) < 30 - len(begun)
+    assert not refused & begun_keys
+    assert len(refused) < 30 - len(begun_keys)
 
 
-def test_a_body_that_can_not_be_of_use_any_more_is_given_up_though_it_has_begun():
+def test_a_begun_body_is_refused_if_it_would_miss_its_deadline():
     arrivals = Arrivals(Patience())
     arrivals.announce("a", 500_000, offer(1.0, 2.0))
     now = 0.0
@@ -114,7 +118,7 @@
     assert [key for key, _ in arrivals.in_vain(1.9)] == ["a"]
 
 
-def test_what_was_lost_with_a_link_is_asked_for_again():
+def test_parts_lost_with_a_link_are_requested_again():
     arrivals = Arrivals(Patience())
     arrivals.announce("a", 60_000, offer())
     first, *_ = arrivals.asks(0.0)
@@ -124,7 +128,7 @@
     assert arrivals.asks(0.02)[0] == first
 
 
-def test_an_urgent_or_short_body_comes_first():
+def test_an_urgent_or_short_body_is_requested_first():
     arrivals = Arrivals(Patience())
     arrivals.announce("large", 200_000, offer())
     arrivals.announce("small", 9_000, offer())
@@ -136,7 +140,7 @@
     assert arrivals.asks(1.0)[0].key == "small"
 
 
-def test_what_has_begun_comes_whole_though_others_could_be_in_time():
+def test_a_begun_body_is_completed_even_if_it_becomes_late():
     # Guards against: a body is late by the time it has half come, shorter ones pass it
     # for good, and its caller hears after seconds that it did not run.
     source = random.Random(1)
--- a/tests/sidecar/test_called_holds.py
+++ b/tests/sidecar/test_called_holds.py
@@ -15,14 +15,14 @@
     ReleaseOrder,
 )
 from tamarackhaven.sidecar._target_state import Heartbeat
-from tests.sidecar.held_by_calls import TwoHoldersError, World, with_holds
+from tests.sidecar.held_by_calls import TwoHoldersError, World, holds_by_orders_with
 
 LEASE = FleetLeaseSettings()
 LIFE = "i@1@10.0.0.1:1"
 SLOWEST_CLOCK = 0.98
 
 
-def beat(sequence):
+def heartbeat(sequence):
     return Heartbeat("i", 1, "s", "z", 4, TargetPhase.READY, sequence)
 
 
@@ -31,18 +31,18 @@
     return LeaseGrant(1, GrantId(1, number), lease_s, LIFE, rows)
 
 
-def kinds(orders):
+def summaries(orders):
     return [(type(each), each.first, each.last, each.fence) for each in orders]
 
 
 @pytest.fixture
 def holds():
-    made = CalledHolds(LEASE, LIFE)
-    made.heard(beat(1), 9.0)
-    return made
+    called_holds = CalledHolds(LEASE, LIFE)
+    called_holds.heard(heartbeat(1), 9.0)
+    return called_holds
 
 
-def told(holds, now=10.0, *ranges):
+def grant_and_confirm(holds, now=10.0, *ranges):
     """Grant ranges, and let the target take them."""
     holds.take_grant(grant(1, *(ranges or ((0, 99, 7),))), now)
     for order in holds.due(now):
@@ -59,15 +59,15 @@
     assert holds.holds(5, 10.0) and not holds.holds(500, 10.0)
 
 
-def test_a_hold_ends_before_the_lease_however_late_its_call_arrives(holds):
+def test_a_hold_expires_before_the_lease_even_if_its_call_arrives_late(holds):
     holds.take_grant(grant(1, (0, 99, 7)), 10.0)
     (order,) = holds.due(10.5)
     arrives_s = 10.5 + CALL_TIMEOUT_S
     assert arrives_s + order.hold_s / SLOWEST_CLOCK < 14.0
 
 
-def test_a_hold_is_renewed_as_the_lease_is_but_not_with_each_grant(holds):
-    told(holds)
+def test_a_hold_is_renewed_with_the_lease_but_not_with_each_grant(holds):
+    grant_and_confirm(holds)
     holds.take_grant(grant(2, (0, 99, 7)), 10.4)
     assert holds.due(10.4) == []
     holds.take_grant(grant(3, (0, 99, 7)), 10.8)
@@ -75,23 +75,23 @@
     assert isinstance(order, GrantOrder)
 
 
-def test_a_hanging_call_holds_up_no_other_keys(holds):
+def test_a_hanging_call_does_not_delay_calls_for_other_keys(holds):
     # A target leaves one call unanswered. The others must be renewed meanwhile, or
     # requests for their keys end with the hold.
     holds.take_grant(grant(1, (0, 99, 7), (200, 299, 8)), 10.0)
     first, second = holds.due(10.0)
     holds.ended(second, OrderEnd.DONE, 10.0)
     holds.take_grant(grant(2, (0, 99, 7), (200, 299, 8)), 11.0)
-    assert kinds(holds.due(11.0)) == [(GrantOrder, 200, 299, 8)]
+    assert summaries(holds.due(11.0)) == [(GrantOrder, 200, 299, 8)]
     holds.ended(first, OrderEnd.UNANSWERED, 11.1)
-    assert kinds(holds.due(11.1)) == [(GrantOrder, 0, 99, 7)]
+    assert summaries(holds.due(11.1)) == [(GrantOrder, 0, 99, 7)]
 
 
-def test_a_part_that_moves_away_is_released_and_the_rest_stays(holds):
-    told(holds)
+def test_a_moved_part_of_a_range_is_released_and_the_rest_stays_held(holds):
+    grant_and_confirm(holds)
     holds.take_grant(grant(2, (0, 39, 7), (60, 99, 7)), 10.1)
     (order,) = holds.due(10.1)
-    assert kinds([order]) == [(ReleaseOrder, 40, 59, 7)]
+    assert summaries([order]) == [(ReleaseOrder, 40, 59, 7)]
     assert holds.holds(39, 10.1) and not holds.holds(40, 10.1)
     assert Hold(40, 59, 7) in holds.held(10.1)
     holds.ended(order, OrderEnd.DONE, 10.3, "token")
@@ -100,21 +100,21 @@
     assert (release.first, release.last, release.handover) == (40, 59, "token")
 
 
-def test_a_release_without_an_answer_is_none(holds):
-    told(holds)
+def test_an_unanswered_release_is_retried(holds):
+    grant_and_confirm(holds)
     holds.take_grant(grant(2), 10.1)
     (order,) = holds.due(10.1)
     holds.ended(order, OrderEnd.UNANSWERED, 11.6)
     assert holds.held(11.6) == (Hold(0, 99, 7),)
-    (again,) = holds.due(11.6)
-    assert isinstance(again, ReleaseOrder)
+    (retried,) = holds.due(11.6)
+    assert isinstance(retried, ReleaseOrder)
 
 
-def test_keys_stay_held_while_an_unanswered_grant_may_still_give_them(holds):
+def test_keys_count_as_held_until_an_unanswered_grant_has_expired(holds):
     # A call to hold keys has no answer, and its keys are released right after. The
     # target carries the call out a second later and holds them again, beside the
     # next owner.
-    told(holds)
+    grant_and_confirm(holds)
     holds.take_grant(grant(2, (0, 99, 7)), 11.0)
     (renewal,) = holds.due(11.0)
     holds.ended(renewal, OrderEnd.UNANSWERED, 11.4)
@@ -129,45 +129,45 @@
     assert [each.handover for each in holds.releases] == ["token"]
 
 
-def test_keys_under_a_token_that_the_target_refused_are_not_ordered_again(holds):
+def test_keys_refused_under_a_token_are_not_ordered_again(holds):
     holds.take_grant(grant(1, (0, 99, 7)), 10.0)
     (order,) = holds.due(10.0)
     holds.ended(order, OrderEnd.SUPERSEDED, 10.0)
     assert holds.refused == (Hold(0, 99, 7),)
     assert holds.due(10.1) == []
     holds.take_grant(grant(2, (0, 99, 9)), 10.4)
-    assert kinds(holds.due(10.4)) == [(GrantOrder, 0, 99, 9)]
+    assert summaries(holds.due(10.4)) == [(GrantOrder, 0, 99, 9)]
     assert holds.refused == ()
 
 
-def test_a_restarted_daemon_counts_all_keys_as_held_until_old_leases_are_over():
+def test_a_restarted_daemon_counts_all_keys_as_held_until_old_leases_expire():
     # The process before told the target of keys that this one has never heard of.
     restarted = CalledHolds(LEASE, LIFE)
-    restarted.heard(beat(7), 20.0)
+    restarted.heard(heartbeat(7), 20.0)
     assert restarted.held(20.0) == (Hold(0, 65535, 0),)
     assert restarted.held(20.0 + LEASE.lease_s) == ()
 
 
-def test_keys_that_come_back_unchanged_come_with_their_own_handover(holds):
+def test_keys_granted_back_under_the_same_token_keep_their_handover(holds):
     # A leader that moved keys away is lost after their release; the next one knows
     # of no move. Without the token they would be slow, as after a crash.
-    told(holds)
+    grant_and_confirm(holds)
     holds.take_grant(grant(2), 10.1)
     (order,) = holds.due(10.1)
     holds.ended(order, OrderEnd.DONE, 10.2, "mine")
     holds.take_grant(grant(3, (0, 99, 7)), 10.5)
-    (back,) = holds.due(10.5)
-    assert back.handover == "mine"
+    (regranted,) = holds.due(10.5)
+    assert regranted.handover == "mine"
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_key_has_two_holders_whatever_becomes_of_calls(seed):
+def test_no_key_has_two_holders_if_calls_fail(seed):
     world = World(seed)
     world.run(60.0)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_all_keys_are_held_again_once_calls_are_answered(seed):
+def test_all_keys_are_held_again_once_calls_succeed(seed):
     world = World(seed)
     world.run(30.0)
     world.is_calm = True
@@ -175,40 +175,46 @@
     assert world.served() == 1.0
 
 
-class _NoLateCalls(CalledHolds):
+class _IgnoresUnansweredGrants(CalledHolds):
     def ended(self, order, end, now, handover=""):
         super().ended(order, end, now, handover)
-        self._spans = [attrs.evolve(s, late_until_s=0.0) for s in self._spans]
+        self._spans = [attrs.evolve(s, unanswered_until_s=0.0) for s in self._spans]
 
 
-class _AnyReleaseCounts(CalledHolds):
+class _CountsAnyReleaseAsDone(CalledHolds):
     def ended(self, order, end, now, handover=""):
         if isinstance(order, ReleaseOrder):
             end = OrderEnd.DONE
         super().ended(order, end, now, handover)
 
 
-class _KnowsAllAtStart(CalledHolds):
-    def heard(self, beat, now):
-        reply = super().heard(beat, now)
-        self._unknown_until_s = now
+class _AssumesNoEarlierHolds(CalledHolds):
+    def heard(self, heartbeat, now):
+        reply = super().heard(heartbeat, now)
+        self._earlier_holds_until_s = now
         return reply
 
 
-class _HoldsTooLong(CalledHolds):
-    def _longest_hold_s(self, now, delay_s=0.0):
-        return super()._longest_hold_s(now - 1.0)
+class _HoldsOutliveLease(CalledHolds):
+    def _max_hold_s(self, now, delay_s=0.0):
+        return super()._max_hold_s(now - 1.0)
 
 
 @pytest.mark.parametrize(
-    "holds", [_NoLateCalls, _AnyReleaseCounts, _KnowsAllAtStart, _HoldsTooLong]
+    "holds",
+    [
+        _IgnoresUnansweredGrants,
+        _CountsAnyReleaseAsDone,
+        _AssumesNoEarlierHolds,
+        _HoldsOutliveLease,
+    ],
 )
-def test_the_search_finds_each_missing_safeguard(holds, monkeypatch):
-    monkeypatch.setattr(_target_state, "_HOLDS_BY_ORDERS", with_holds(holds))
+def test_the_simulation_detects_each_missing_safeguard(holds, monkeypatch):
+    monkeypatch.setattr(_target_state, "_HOLDS_BY_ORDERS", holds_by_orders_with(holds))
 
-    def run_all():
+    def run_all_seeds():
         for seed in range(40):
             World(seed).run(60.0)
 
     with pytest.raises(TwoHoldersError):
-        run_all()
+        run_all_seeds()
--- a/tests/sidecar/test_choice.py
+++ b/tests/sidecar/test_choice.py
@@ -4,7 +4,7 @@
 
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.fleet._model import Target
-from tamarackhaven.sidecar._choice import FIRST_PAUSE_S, Chooser, has_failed
+from tamarackhaven.sidecar._choice import MIN_PAUSE_S, Chooser, has_failed
 from tamarackhaven.sidecar._messages import Answered, GateLoad, Lost, NotRun
 
 
@@ -20,109 +20,109 @@
     return Chooser("a", lambda: 0.0)
 
 
-def tell(chooser, who, route="r", now=0.0, failed=False, **load):
+def report_load(chooser, chosen, route="r", now=0.0, failed=False, **load):
     load = {"running": 0, "waiting": 0, "slots": 10, "work_ms": 100.0, **load}
-    chooser.sent(who.life)
-    chooser.ended(who.life, route, GateLoad(**load), failed, now)
+    chooser.sent(chosen.life)
+    chooser.ended(chosen.life, route, GateLoad(**load), failed, now)
 
 
-def test_the_faster_one_is_chosen(chooser):
-    tell(chooser, A, work_ms=200.0)
-    tell(chooser, B, work_ms=100.0)
+def test_the_faster_target_is_chosen(chooser):
+    report_load(chooser, A, work_ms=200.0)
+    report_load(chooser, B, work_ms=100.0)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
-def test_a_full_one_is_left_for_a_slower_one_with_room(chooser):
-    tell(chooser, A, running=10, waiting=15, work_ms=100.0)
-    tell(chooser, B, running=2, work_ms=180.0)
+def test_a_slower_target_with_free_slots_is_preferred_to_a_full_one(chooser):
+    report_load(chooser, A, running=10, waiting=15, work_ms=100.0)
+    report_load(chooser, B, running=2, work_ms=180.0)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
-def test_targets_are_compared_by_the_requests_own_route(chooser):
+def test_targets_are_compared_by_processing_times_of_the_requested_route(chooser):
     # One target got many short calls of late, the other long requests. By the mean of
     # all, the first looks faster and gets ever more, though it is the slower one.
-    tell(chooser, A, "call", work_ms=80.0)
-    tell(chooser, A, "long", work_ms=900.0)
-    tell(chooser, B, "long", work_ms=400.0)
-    tell(chooser, B, "call", work_ms=40.0)
+    report_load(chooser, A, "call", work_ms=80.0)
+    report_load(chooser, A, "long", work_ms=900.0)
+    report_load(chooser, B, "long", work_ms=400.0)
+    report_load(chooser, B, "call", work_ms=40.0)
     assert chooser.pick([A, B], "call", 0.1) is B
     assert chooser.pick([A, B], "long", 0.1) is B
 
 
-def test_what_was_sent_since_the_last_news_counts(chooser):
-    tell(chooser, A)
-    tell(chooser, B)
+def test_requests_sent_since_the_last_load_report_count(chooser):
+    report_load(chooser, A)
+    report_load(chooser, B)
     for _ in range(10):
         chooser.sent(A.life)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
 def test_the_own_zone_is_preferred_unless_it_is_much_busier(chooser):
-    tell(chooser, A, work_ms=105.0)
-    tell(chooser, C, work_ms=100.0)
+    report_load(chooser, A, work_ms=105.0)
+    report_load(chooser, C, work_ms=100.0)
     assert chooser.pick([A, C], "r", 0.1) is A
-    tell(chooser, A, running=10, waiting=10)
+    report_load(chooser, A, running=10, waiting=10)
     assert chooser.pick([A, C], "r", 0.1) is C
 
 
-def test_a_large_body_stays_in_its_zone_while_that_is_nearly_as_fast(chooser):
+def test_a_large_body_stays_in_its_zone_if_that_is_nearly_as_fast(chooser):
     # Uploads are most of the bytes between availability zones, and those are paid for.
-    tell(chooser, A, running=10, waiting=2)
-    tell(chooser, C, running=0)
+    report_load(chooser, A, running=10, waiting=2)
+    report_load(chooser, C, running=0)
     assert chooser.pick([A, C], "r", 0.1) is C
     assert chooser.pick([A, C], "r", 0.1, body_bytes=60_000) is A
-    tell(chooser, A, running=10, waiting=20)
+    report_load(chooser, A, running=10, waiting=20)
     assert chooser.pick([A, C], "r", 0.1, body_bytes=60_000) is C
 
 
-def test_a_slow_target_is_tried_again_after_a_while(chooser):
+def test_a_slow_target_is_tried_again_once_its_report_is_old(chooser):
     # A target was slow for some seconds. It gets nothing, so nothing is heard of it;
     # remembered for ever, it would stay idle after it has recovered.
-    tell(chooser, A, work_ms=1000.0)
-    tell(chooser, B, running=5, work_ms=100.0, now=20.0)
+    report_load(chooser, A, work_ms=1000.0)
+    report_load(chooser, B, running=5, work_ms=100.0, now=20.0)
     assert chooser.pick([A, B], "r", 0.1) is B
-    tell(chooser, B, running=9, waiting=6, work_ms=100.0, now=20.0)
+    report_load(chooser, B, running=9, waiting=6, work_ms=100.0, now=20.0)
     assert chooser.pick([A, B], "r", 20.1) is A
 
 
-def test_an_unreachable_one_is_left_alone_for_a_while(chooser):
-    tell(chooser, A, work_ms=10.0)
-    tell(chooser, B)
+def test_an_unreachable_target_is_paused(chooser):
+    report_load(chooser, A, work_ms=10.0)
+    report_load(chooser, B)
     chooser.unreachable(A.life, 0.1)
     assert chooser.pick([A, B], "r", 0.2) is B
-    assert chooser.pick([A, B], "r", 0.2 + FIRST_PAUSE_S) is A
+    assert chooser.pick([A, B], "r", 0.2 + MIN_PAUSE_S) is A
 
 
-def test_with_all_unreachable_the_next_to_return_is_tried(chooser):
+def test_with_all_targets_paused_the_earliest_to_resume_is_chosen(chooser):
     chooser.unreachable(A.life, 0.0)
     chooser.unreachable(B.life, 0.1)
     assert chooser.pick([A, B], "r", 0.2) is A
 
 
-def test_one_that_fails_requests_is_avoided(chooser):
+def test_a_target_that_fails_requests_is_avoided(chooser):
     for _ in range(10):
-        tell(chooser, A, failed=True)
-        tell(chooser, B, work_ms=200.0)
+        report_load(chooser, A, failed=True)
+        report_load(chooser, B, work_ms=200.0)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
-def test_one_that_turns_requests_away_is_avoided(chooser):
+def test_a_target_that_refuses_requests_is_avoided(chooser):
     # A faulty target refuses half of what it gets. It runs little, so it looks like the
     # one with most room, and gets most of all requests.
     refused = NotRun(1, ErrorKind.TARGET_REFUSED.name, was_offered=True)
     answered = Answered(2, 200, (), b"")
     for number in range(10):
         end = refused if number % 2 else answered
-        tell(chooser, A, failed=has_failed(end), running=1)
-        tell(chooser, B, failed=has_failed(answered), running=9, work_ms=150.0)
+        report_load(chooser, A, failed=has_failed(end), running=1)
+        report_load(chooser, B, failed=has_failed(answered), running=9, work_ms=150.0)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
-def test_a_full_gate_does_not_speak_against_its_target():
+def test_a_full_queue_is_no_failure_of_its_target():
     assert has_failed(NotRun(1, ErrorKind.QUEUE_FULL.name)) is None
     assert has_failed(Lost(1, ErrorKind.TARGET_SENT_NOTHING.name))
     assert has_failed(Answered(1, 500, (), b""))
 
 
-def test_those_tried_already_are_avoided(chooser):
+def test_targets_that_were_tried_are_not_chosen(chooser):
     assert chooser.pick([A], "r", 0.0, {A.life}) is None
--- a/tests/sidecar/test_offers.py
+++ b/tests/sidecar/test_offers.py
@@ -9,7 +9,7 @@
 from tamarackhaven.sidecar._choice import Chooser
 from tamarackhaven.sidecar._gate import Gate, Offer, Start
 from tamarackhaven.sidecar._messages import GateLoad
-from tamarackhaven.sidecar._offers import MOST_ASKED, Ask, Offers, Send
+from tamarackhaven.sidecar._offers import MAX_WAIT_QUERIES, Ask, Offers, Send
 
 
 def target(number, slots=3):
@@ -25,36 +25,36 @@
     return Offers(Chooser("a", lambda: 0.0), "r")
 
 
-def test_a_request_waits_only_where_the_wait_is_shortest(offers):
+def test_a_request_is_queued_where_the_wait_is_shortest(offers):
     first = offers.next(TARGETS, 0.0)
     assert not first.waits
     offers.busy(first.target, 0.3)
-    others = offers.next(TARGETS, 0.0).targets
-    assert first.target not in others
-    for target, wait_s in zip(others, (0.2, 0.1, 0.4), strict=True):
+    queried = offers.next(TARGETS, 0.0).targets
+    assert first.target not in queried
+    for target, wait_s in zip(queried, (0.2, 0.1, 0.4), strict=True):
         offers.busy(target, wait_s)
-    assert offers.next(TARGETS, 0.0) == Send(others[1], True)
+    assert offers.next(TARGETS, 0.0) == Send(queried[1], True)
 
 
-def test_a_few_targets_are_asked_and_each_once(offers):
+def test_a_few_targets_are_queried_once_each(offers):
     offers.busy(offers.next(TARGETS, 0.0).target, 0.3)
-    others = offers.next(TARGETS, 0.0).targets
-    assert len(set(others)) == MOST_ASKED
+    queried = offers.next(TARGETS, 0.0).targets
+    assert len(set(queried)) == MAX_WAIT_QUERIES
     assert isinstance(offers.next(TARGETS, 0.0), Send)
 
 
-def test_without_an_answer_the_request_waits_at_the_first(offers):
+def test_a_request_is_queued_at_the_first_target_if_queries_fail(offers):
     first = offers.next(TARGETS, 0.0).target
     offers.busy(first, 0.3)
     offers.next(TARGETS, 0.0)
     assert offers.next(TARGETS, 0.0) == Send(first, True)
 
 
-def test_the_only_target_is_not_asked_first(offers):
+def test_the_only_target_is_not_queried(offers):
     assert offers.next(TARGETS[:1], 0.0) == Send(TARGETS[0], True)
 
 
-def test_a_closed_target_is_left_out(offers):
+def test_a_closed_target_is_not_offered_again(offers):
     first = offers.next(TARGETS[:2], 0.0).target
     offers.close(first)
     second = offers.next(TARGETS[:2], 0.0)
@@ -64,14 +64,14 @@
     assert offers.next(TARGETS[:2], 0.0) is None
 
 
-def test_a_request_that_finds_every_queue_full_tries_others(offers):
+def test_a_request_refused_at_queried_targets_is_sent_to_others(offers):
     # The asked targets filled up meanwhile: the request is refused at each, and then
     # waits at one that was not asked.
     offers.busy(offers.next(TARGETS, 0.0).target, 0.3)
     for target in offers.next(TARGETS, 0.0).targets:
         offers.busy(target, 0.1)
     tried = set()
-    for _ in range(MOST_ASKED + 2):
+    for _ in range(MAX_WAIT_QUERIES + 2):
         offer = offers.next(TARGETS, 0.0)
         assert offer.waits
         assert offer.target.life not in tried
@@ -79,7 +79,7 @@
         offers.close(offer.target)
 
 
-class Replay:
+class Simulation:
     """Many daemons, each with a caller's share of short calls and long requests.
 
     Each daemon knows of a target's load what its own requests brought back.
@@ -87,8 +87,8 @@
 
     WORK_S = {"call": 0.055, "long": 0.4}
 
-    def __init__(self, asks, daemons=60, targets=18):
-        self.asks = asks
+    def __init__(self, queries_waits, daemons=60, targets=18):
+        self.queries_waits = queries_waits
         self.random = random.Random(7)
         self.targets = [target(number) for number in range(targets)]
         self.gates = {t.life: Gate(t.slots, self.random.random) for t in self.targets}
@@ -97,17 +97,17 @@
         self.waited_s = {"call": [], "long": []}
         self.refused = 0
         self.number = 0
-        self.arrivals = {}
+        self.request_by_number = {}
 
-    def run(self, seconds=30.0, use=0.85):
+    def run(self, seconds=30.0, utilization=0.85):
         """Return the mean wait of calls in seconds, and the part that was refused."""
         slots = sum(each.slots for each in self.targets)
         mean_s = 0.5 * sum(self.WORK_S.values())
-        now, pause_s = 0.0, mean_s / (use * slots)
+        now, interval_s = 0.0, mean_s / (utilization * slots)
         while now < seconds:
-            now += self.random.expovariate(1 / pause_s)
+            now += self.random.expovariate(1 / interval_s)
             self.finish_until(now)
-            self.arrive(self.random.choice(["call", "long"]), now)
+            self.add_request(self.random.choice(["call", "long"]), now)
         calls = self.waited_s["call"]
         return sum(calls) / len(calls), self.refused / self.number
 
@@ -118,19 +118,19 @@
             load = GateLoad(gate.running, gate.waiting, gate.slots, 100.0)
             chooser.ended(life, route, load, False, at)
             for decision in gate.finish(number, True, at):
-                self.begin(decision, life, at)
+                self.apply_decision(decision, life, at)
 
-    def begin(self, decision, life, now):
-        since, route, chooser = self.arrivals.pop(decision.number)
+    def apply_decision(self, decision, life, now):
+        arrived_s, route, chooser = self.request_by_number.pop(decision.number)
         if isinstance(decision, Start):
-            self.waited_s[route].append(now - since)
+            self.waited_s[route].append(now - arrived_s)
             work_s = self.random.lognormvariate(-0.2, 0.6) * self.WORK_S[route]
             event = now + work_s, decision.number, life, route, chooser
             heapq.heappush(self.events, event)
         else:
             self.refused += 1
 
-    def arrive(self, route, now):
+    def add_request(self, route, now):
         self.number += 1
         chooser = self.random.choice(self.choosers)
         offers = Offers(chooser, route)
@@ -139,32 +139,32 @@
             step = offers.next(self.targets, now)
             if isinstance(step, Ask):
                 for each in step.targets:
-                    question = Offer(0, route, 1, objective_s, objective_s)
+                    query = Offer(0, route, 1, objective_s, objective_s)
                     gate = self.gates[each.life]
-                    offers.busy(each, gate.expected_wait_s(question, now))
+                    offers.busy(each, gate.expected_wait_s(query, now))
                 continue
-            waits = step.waits or not self.asks
+            waits = step.waits or not self.queries_waits
             life = step.target.life
             gate = self.gates[life]
             chooser.sent(life)
-            self.arrivals[self.number] = now, route, chooser
+            self.request_by_number[self.number] = now, route, chooser
             offer = Offer(self.number, route, 1, objective_s, deadline_s, waits)
             decision = gate.offer(offer, now)
             if decision is None:
                 return
             if isinstance(decision, Start) or waits:
-                self.begin(decision, life, now)
+                self.apply_decision(decision, life, now)
                 return
             load = GateLoad(gate.running, gate.waiting, gate.slots, 100.0)
             chooser.ended(life, route, load, None, now)
             offers.busy(step.target, decision.retry_after_s)
 
 
-def test_calls_wait_less_where_daemons_ask_first():
+def test_calls_wait_less_if_daemons_query_waits_first():
     # Load: 60 daemons before 18 nearly full targets. Each daemon hears of a target's
     # load every other second, so without a question the calls queue behind long
     # requests while other targets have free slots; what waits for the calls gets late.
-    before_s, refused_before = Replay(asks=False).run()
-    after_s, refused_after = Replay(asks=True).run()
-    assert after_s < 0.5 * before_s
-    assert refused_after <= refused_before
+    plain_wait_s, plain_refused = Simulation(queries_waits=False).run()
+    queried_wait_s, queried_refused = Simulation(queries_waits=True).run()
+    assert queried_wait_s < 0.5 * plain_wait_s
+    assert queried_refused <= plain_refused
--- a/tests/sidecar/test_runs.py
+++ b/tests/sidecar/test_runs.py
@@ -22,7 +22,7 @@
     asyncio.run(main())
 
 
-def test_a_long_booking_asked_for_again_late_runs_once(monkeypatch):
+def test_a_long_booking_retried_late_runs_once(monkeypatch):
     # A route allows a minute. The booking runs at once, its answer is lost with the
     # link, and the link comes back half a minute later: the same number is asked for
     # again, and must not run again.
@@ -31,14 +31,14 @@
         await runs.start(("one", 1), booking)
         clock[0] += 30.0
         runs.start(("one", 2), attrs.evolve(FORWARD, number=2))
-        again = await runs.start(("one", 1), booking)
-        assert again.body == b"done"
+        retried = await runs.start(("one", 1), booking)
+        assert retried.body == b"done"
         assert target.ran.count(1) == 1
 
     run(test, monkeypatch)
 
 
-def test_what_nobody_can_ask_for_any_more_is_forgotten(monkeypatch):
+def test_results_that_cannot_be_retried_are_removed(monkeypatch):
     async def test(runs, target, clock):
         for number in range(100):
             await runs.start(("one", number), attrs.evolve(FORWARD, number=number))
@@ -49,7 +49,7 @@
     run(test, monkeypatch)
 
 
-def test_a_copy_of_a_booking_that_was_held_up_on_its_link_does_not_run(monkeypatch):
+def test_a_delayed_duplicate_of_a_booking_does_not_run(monkeypatch):
     # Guards against: a booking is answered, and a copy of its forward comes out of a
     # small link seconds later, when the booking is forgotten: it runs a second time.
     async def test(runs, target, clock):
@@ -58,23 +58,23 @@
         for number in range(2, 20):
             clock[0] += 0.5
             await runs.start(("one", number), attrs.evolve(FORWARD, number=number))
-        copy = await runs.start(("one", 1), booking)
+        duplicate = await runs.start(("one", 1), booking)
         assert target.ran.count(1) == 1
-        assert copy == Lost(1, "FORWARD_LOST")
+        assert duplicate == Lost(1, "FORWARD_LOST")
 
     run(test, monkeypatch)
 
 
-def test_names_of_bookings_are_forgotten_once_no_copy_can_come(monkeypatch):
+def test_keys_of_bookings_are_removed_once_no_duplicate_can_arrive(monkeypatch):
     # Guards against: the names of all bookings of a daemon's life fill its memory.
     async def test(runs, target, clock):
         booking = attrs.evolve(FORWARD, is_safe=False, left_ms=100.0)
         await runs.start(("one", 1), booking)
         clock[0] += 10.0
         await runs.start(("one", 2), FORWARD)
-        assert list(runs._spent_until_s_by_key) == [("one", 1)]
-        clock[0] += _runs.SPENT_S + 1.0
+        assert list(runs._completed_until_s_by_key) == [("one", 1)]
+        clock[0] += _runs.COMPLETED_KEY_TTL_S + 1.0
         await runs.start(("one", 3), FORWARD)
-        assert not runs._spent_until_s_by_key
+        assert not runs._completed_until_s_by_key
 
     run(test, monkeypatch)
