--- a/tamarackhaven/sidecar/_arrivals.py
+++ b/tamarackhaven/sidecar/_arrivals.py
@@ -1,10 +1,9 @@
-"""Which bodies come over the link of the target's VM next, and which are refused. Pure.
+"""Schedules the request bodies that come over the link of the target's VM. Pure.
 
-Load: other daemons send bodies that together are more than the link carries. Harm:
-sent at once, they are one long queue that nobody orders; all of them are late, and
-short calls stand behind them. Limit: a body is announced and comes in parts that are
-asked for, so that few of them are on their way at any moment, and what can't be in
-time is refused before it crosses.
+Other daemons may send more bytes than the link carries. Sent at once, the bodies form
+one unordered queue: all of them are late, and short calls wait behind them. So a body
+is announced first and requested in parts. Few parts are in flight at any moment, and
+a body that can't arrive in time is refused before it is transferred.
 """
 
 import collections
@@ -12,30 +11,30 @@
 
 import attrs
 
-# A part must be worth its own message, and short enough to let others pass.
+# A part must be worth a message of its own, and short enough to let others pass.
 MIN_PART_BYTES = 4096
 MAX_PART_BYTES = 65_536
-# Parts on their way at once, so that the link isn't idle while one is asked for.
+# Parts in flight at once, so that the link isn't idle while the next is requested.
 MIN_PARTS_IN_FLIGHT = 3
 MAX_WINDOW_BYTES = 1 << 20
-# A short call waits for so long behind the parts that are on their way.
+# How long a short call may wait behind the parts in flight.
 MAX_QUEUE_DELAY_S = 0.02
-# A sender from which nothing has come for so long doesn't hold up the others.
+# A sender that has sent nothing for this long doesn't hold up the others.
 STALL_TIMEOUT_S = 0.15
-# What a link carries is judged by about this much time in which it was busy.
+# The throughput is estimated over about this much time in which the link was busy.
 RATE_HALF_LIFE_S = 0.5
-# On a full link each part stands behind others; so often one is asked for alone, to
-# see how long the way itself is.
+# On a full link each part waits behind others. So a part is requested alone this often,
+# to measure the round trip without queueing.
 ROUND_TRIP_INTERVAL_S = 2.0
-# The way is as long as the shortest of so many of these.
+# The round trip is the minimum of this many measurements.
 MAX_ROUND_TRIPS = 4
-# The estimate of when a body is whole is rough.
+# The estimate of when a body is complete is rough.
 WAIT_SAFETY_FACTOR = 1.25
 
 
 @attrs.frozen
 class Part:
-    """Bytes to ask for: ``count`` from ``offset`` of the body ``key``."""
+    """Bytes to request: ``count`` from ``offset`` of the body ``key``."""
 
     key: object
     offset: int
@@ -44,7 +43,17 @@
 
 @attrs.frozen
 class _PartRequest:
-    """A part on its way: where it ends, when it was asked for, and if it was alone."""
+    """A part in flight.
+
+    Parameters
+    ----------
+    end : int
+        Offset of the byte after its last one.
+    requested_s : float
+        When it was requested.
+    is_alone : bool
+        Whether no other part was in flight then.
+    """
 
     end: int
     requested_s: float
@@ -53,22 +62,24 @@
 
 @attrs.define(eq=False)
 class _Body:
-    """A body that has been announced.
+    """A body that was announced.
 
     Parameters
     ----------
     key : object
-        Names it.
+        Identifies the body.
     size : int
         In bytes.
     offer : Offer
         Of its request.
-    asked, got : int
-        Bytes that were asked for, and that came.
-    asks : deque of _Ask
-        The parts that are on their way.
-    moved_s : float
-        When the last part came, or was asked for after a pause.
+    order : int
+        Rises with each announcement.
+    requested_bytes, received_bytes : int
+        Bytes requested so far, and bytes received.
+    in_flight : deque of _PartRequest
+        The parts in flight, oldest first.
+    last_progress_s : float
+        When the last part was received, or the first one requested after a pause.
     """
 
     key: object
@@ -82,17 +93,17 @@
 
     @property
     def remaining_bytes(self):
-        """Bytes that are still to come."""
+        """Bytes not yet received."""
         return self.size - self.received_bytes
 
     @property
     def in_flight_bytes(self):
-        """Bytes that were asked for and have not come."""
+        """Bytes requested and not yet received."""
         return self.requested_bytes - self.received_bytes
 
 
 class LinkRate:
-    """What a link carries, learned from the parts that come over it."""
+    """Estimates the throughput and round trip of a link from the parts received."""
 
     def __init__(self):
         self._weighted_bytes = 0.0
@@ -103,11 +114,11 @@
 
     @property
     def bytes_per_s(self):
-        """Bytes a second, None before the first part."""
+        """Throughput in bytes per second, None before the first part."""
         return self._weighted_bytes / self._weighted_s if self._weighted_s else None
 
     def window_bytes(self, now):
-        """Return how many bytes may be on their way at once."""
+        """Return how many bytes may be in flight at once."""
         min_bytes = MIN_PARTS_IN_FLIGHT * MIN_PART_BYTES
         if not self._weighted_s or not self._round_trips_s:
             return min_bytes
@@ -117,14 +128,14 @@
         return min(max(int(window), min_bytes), MAX_WINDOW_BYTES)
 
     def part_requested(self, is_alone, now):
-        """Note that a part was asked for, alone if nothing else is on its way."""
+        """Record that a part was requested; ``is_alone`` if no other is in flight."""
         if self._busy_since_s is None:
             self._busy_since_s = now
         if is_alone:
             self._last_alone_s = now
 
     def part_received(self, count, is_idle, now):
-        """Take in a part; ``is_idle`` if nothing more is on its way."""
+        """Record a received part; ``is_idle`` if no other is in flight."""
         busy_s = now - self._busy_since_s if self._busy_since_s is not None else 0.0
         self._busy_since_s = None if is_idle else now
         if not 0.0 < busy_s < STALL_TIMEOUT_S:
@@ -134,17 +145,18 @@
         self._weighted_s = decay * self._weighted_s + busy_s
 
     def add_round_trip(self, round_trip_s):
-        """Take in how long a part took that had the link for itself."""
+        """Record the round trip of a part that was alone in flight, in seconds."""
         self._round_trips_s.append(round_trip_s)
 
 
 class Arrivals:
-    """The bodies on their way to one VM.
+    """The bodies that are being transferred to one VM.
 
     Parameters
     ----------
-    gate : Patience
-        ``latest_start_s(offer)`` and ``longest_wait_s(offer, now)`` as of a ``Gate``.
+    gate : Gate
+        Or an object that has its ``latest_start_s(offer)`` and
+        ``longest_wait_s(offer, now)``.
     """
 
     def __init__(self, gate):
@@ -155,16 +167,16 @@
 
     @property
     def left_bytes(self):
-        """Bytes that are still to come, of all bodies."""
+        """Bytes not yet received, of all bodies."""
         return sum(body.remaining_bytes for body in self._body_by_key.values())
 
     def left_of(self, key):
-        """Return the bytes of one body that are still to come."""
+        """Return the bytes of one body that are not yet received."""
         body = self._body_by_key.get(key)
         return body.remaining_bytes if body is not None else 0
 
     def expected_s(self, size, offer, now):
-        """Return about when a body would be whole, in seconds from now."""
+        """Return in how many seconds a new body is expected to be complete."""
         return self._transfer_s(
             self._bytes_ahead(_Body(None, size, offer, -1), now) + size
         )
@@ -182,11 +194,11 @@
         )
 
     def _rank(self, body, now):
-        """Return what sorts first: in time, more urgent, begun, shorter.
+        """Return a sort key: in time, priority, already begun, fewer bytes remaining.
 
-        Load: more bytes than the link carries for some time. Harm: in the order in
-        which they came, all bodies would be late. Limit: what is late or large still
-        gets what nobody else needs, and what has begun isn't left halfway.
+        In order of arrival, all bodies would be late while there are more bytes than
+        the link carries. Late and large bodies get the capacity that no other body
+        needs, and a body that has begun isn't abandoned halfway.
         """
         complete_s = now + self._transfer_s(body.remaining_bytes)
         is_late = complete_s > self._gate.latest_start_s(body.offer)
@@ -200,22 +212,22 @@
         )
 
     def announce(self, key, size, offer):
-        """Take in a body that another daemon has; its parts may be asked for."""
+        """Add a body that another daemon has announced."""
         self._body_by_key[key] = _Body(key, size, offer, next(self._announce_order))
 
     def drop(self, key):
-        """Forget a body that is whole, or that nobody wants any more."""
+        """Remove a body that is complete, refused or cancelled."""
         self._body_by_key.pop(key, None)
 
     def renew(self, key):
-        """Note that what is on its way was lost with its link."""
+        """Mark the parts in flight as lost with their link."""
         body = self._body_by_key.get(key)
         if body is not None:
             body.requested_bytes = body.received_bytes
             body.in_flight.clear()
 
     def came(self, key, offset, count, now):
-        """Take in a part; tell whether it is the one that is due."""
+        """Record a received part; return whether it is the one expected next."""
         body = self._body_by_key.get(key)
         if body is None or offset != body.received_bytes or not body.in_flight:
             return False
@@ -231,7 +243,7 @@
         return True
 
     def asks(self, now):
-        """Return the parts to ask for now, as a list of ``Part``."""
+        """Return the parts to request now, as a list of ``Part``."""
         bodies = sorted(
             self._body_by_key.values(), key=lambda body: self._rank(body, now)
         )
@@ -244,7 +256,7 @@
             for body in bodies
             if now - body.last_progress_s < STALL_TIMEOUT_S
         )
-        # A sender with a slow link of its own must not have the window for itself.
+        # A sender with a slow link of its own must not occupy the whole window.
         max_body_bytes_in_flight = max(window_bytes // 2, 2 * part_bytes)
         parts = []
         for body in bodies:
@@ -270,7 +282,8 @@
     def in_vain(self, now):
         """Return the bodies to refuse, as a list of key and expected seconds.
 
-        One that has begun to come is given up only if it can't be of any use.
+        A body that has begun to arrive is refused only if it can't be complete by its
+        deadline.
         """
         refused = []
         bytes_ahead = 0
--- a/tamarackhaven/sidecar/_gate.py
+++ b/tamarackhaven/sidecar/_gate.py
@@ -1,6 +1,8 @@
-"""Which request starts at the target beside the daemon, waits, or is refused. Pure.
+"""Admission control for the target beside the daemon: start, queue or refuse. Pure.
 
-Every request to a target passes its daemon, so one queue decides for all callers.
+Every request to a target passes through its daemon, so one queue decides for all
+callers. A request's processing time (``work_s``) is the time from its start at the
+target to its answer.
 """
 
 import collections
@@ -10,62 +12,64 @@
 
 from tamarackhaven.errors import ErrorKind
 
-# Weight of the newest answer in a route's mean working time: some ten answers.
+# Weight of the newest answer in a route's mean processing time; the mean covers about
+# ten answers.
 WORK_SMOOTHING_FACTOR = 0.1
-# Before the first answer of a route. Too long a guess would refuse what has room.
+# Assumed for a route without answers. A longer guess would refuse requests that fit.
 INITIAL_WORK_S = 0.1
-# Load: a queue that is longer than the time left. Harm: a request waits in vain, and
-# its caller learns late that it must come back. Limit: the estimate of the wait is
-# rough, so a request is let in only if it fits with a quarter to spare.
+# A request that waits longer than the time it has left fails anyway, and its caller
+# learns late that it must retry. The estimate of the wait is rough, so a request is
+# queued only if it fits with a quarter to spare.
 WAIT_SAFETY_FACTOR = 1.25
-# Load: demand about as high as the slots, or higher. Harm: one request that waits until
-# it is late makes those behind it late, too, and so on. Limit: what can't be in time
-# is sent away at once, unless a place is about to be free: a tenth of its time.
+# With demand near or above the slots, a request that waits until it is late delays
+# those behind it past their objectives, too. A request that can't be in time is
+# therefore refused at once, unless a slot is expected within this fraction of the time
+# to its deadline.
 LATE_WAIT_FRACTION = 0.1
-# Short requests may wait for this part of the time they have.
+# Short requests may wait for this fraction of the time to their deadline.
 SHORT_WAIT_FRACTION = 0.6
-# The queue counts as overloaded if it has not been empty for so long; some working
-# times of the slowest routes.
+# The queue counts as overloaded if it hasn't been empty for this long, which is a few
+# processing times of the slowest routes.
 OVERLOAD_AFTER_S = 1.0
-# Load: a burst of callers that all hear the same time to come back. Harm: they come
-# back as one wave. Limit: spread over twice the time after which there is room.
+# If a burst of callers got the same Retry-After, they would all retry at once. The
+# retries are spread over up to twice the expected wait.
 RETRY_JITTER_FACTOR = 1.0
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 2.0
 COLD_WINDOW_S = 1.0
-# Load: lasting overload by long requests. Harm: sent away, a short call fails the work
-# elsewhere that waits for it, and all that this has used is lost; let in, it takes a
-# place for a moment. Limit: work of less than this part of the mean counts as short.
+# During lasting overload, refusing a short call fails the work elsewhere that waits for
+# it and wastes what that has used; admitting it takes a slot for a moment only. A
+# request counts as short if its mean is below this fraction of the mean of all routes.
 SHORT_WORK_FRACTION = 0.6
 
 
-# Load: a zone comes back cold, with the demand of before. Harm: at the cold rate alone
-# most of it is turned away, though targets fall over only well above that. Limit: so
-# many times the cold rate; half as much again is too much.
+# A zone that comes back cold meets its former demand. At the bare cold rate most of it
+# is refused, though targets fail only well above that rate; 1.5 times the rate is too
+# much.
 COLD_RATE_FACTOR = 1.25
 
 
 def cold_starts(per_s):
-    """Return the starts in any second that a cold target is given; at least 1."""
+    """Return how many starts per second a cold target is given, at least 1."""
     return max(int(COLD_RATE_FACTOR * per_s), 1)
 
 
 @attrs.frozen
 class Offer:
-    """A request at the gate; times in seconds of the boot clock.
+    """A request that asks for admission; times in seconds of the boot clock.
 
     Parameters
     ----------
     number : int
         Unique.
     route : str
-        Whose working times it shares.
+        Requests of one route share their mean processing time.
     priority : int
         0 starts first.
     objective_s, deadline_s : float
-        Until when an answer is in time, and of any use.
+        Until when an answer is in time, and until when it is of any use.
     waits : bool
-        Whether it may wait here; else it starts at once or goes elsewhere.
+        Whether the request may be queued; otherwise it starts at once or is refused.
     """
 
     number: int
@@ -78,14 +82,14 @@
 
 @attrs.frozen
 class Start:
-    """The request goes to the target now."""
+    """Decision: the request is sent to the target now."""
 
     number: int
 
 
 @attrs.frozen
 class Refuse:
-    """The request is not run."""
+    """Decision: the request is not run."""
 
     number: int
     kind: ErrorKind
@@ -94,7 +98,7 @@
 
 @attrs.define
 class _MeanWork:
-    """Mean working time of one route's requests, in seconds."""
+    """Moving average of the processing times of one route, in seconds."""
 
     mean_s: float = INITIAL_WORK_S
     count: int = 0
@@ -113,7 +117,7 @@
     slots : int
         Requests that the target runs at once.
     random : callable
-        Gives numbers from 0 to 1, to spread the times to come back.
+        Returns numbers from 0 to 1, for the jitter of Retry-After.
     """
 
     def __init__(self, slots, random):
@@ -130,26 +134,26 @@
 
     @property
     def running(self):
-        """Requests at the target."""
+        """Number of requests that the target runs."""
         return len(self._running_by_number)
 
     @property
     def waiting(self):
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._waiting_by_number)
 
     @property
     def work_s(self):
-        """Mean working time over all routes, in seconds."""
+        """Mean processing time over all routes, in seconds."""
         return self._overall_work.mean_s
 
     @property
     def has_worked(self):
-        """Whether the target has answered a request yet."""
+        """Whether the target has answered any request."""
         return self._overall_work.count > 0
 
     def route_work_s(self, route):
-        """Return the mean working time of a route's requests, 0 before the first."""
+        """Return the mean processing time of a route in seconds, 0 without answers."""
         work = self._work_by_route.get(route)
         return work.mean_s if work is not None and work.count else 0.0
 
@@ -159,11 +163,11 @@
         return self._cold_rate_per_s is not None
 
     def set_cold(self, per_s):
-        """Start at most ``per_s`` requests in any second; None for no such limit."""
+        """Start at most ``per_s`` requests in any second; None removes the limit."""
         self._cold_rate_per_s = per_s
 
     def offer(self, offer, now):
-        """Return ``Start``, ``Refuse`` or None if the request waits."""
+        """Return ``Start``, ``Refuse``, or None if the request is queued."""
         if now >= offer.deadline_s:
             return Refuse(offer.number, ErrorKind.DEADLINE_PAST, 0.0)
         if not self._waiting_by_number:
@@ -179,22 +183,22 @@
         return None
 
     def expected_wait_s(self, offer, now):
-        """Return about how long a request would wait here, in seconds."""
+        """Return the estimated wait of a request for its start, in seconds."""
         if not self._waiting_by_number and self._has_room(now):
             return 0.0
         return self._estimated_wait_s(offer, now)
 
     def foresee(self, offer, transfer_s, has_other_bodies, now):
-        """Return a ``Refuse`` for a request that its body had better not follow.
+        """Return a ``Refuse`` if a request's body shouldn't be transferred, else None.
 
         Parameters
         ----------
         offer : Offer
             Of the request.
         transfer_s : float
-            About how long its body takes to come.
+            Estimated time to transfer its body.
         has_other_bodies : bool
-            Whether other bodies are on their way.
+            Whether other bodies are being transferred.
         now : float
             Seconds of the boot clock.
         """
@@ -209,11 +213,11 @@
         return None
 
     def latest_start_s(self, offer):
-        """Return until when a request must start for its answer to be in time."""
+        """Return when a request must start, at the latest, to be answered in time."""
         return offer.objective_s - self._work_by_route[offer.route].mean_s
 
     def longest_wait_s(self, offer, now):
-        """Return how long a request may wait and still be worth its place."""
+        """Return for how many seconds a request may wait and still be worth a slot."""
         work_s = self._work_by_route[offer.route].mean_s
         left_s = offer.deadline_s - now - work_s
         if self._is_short(offer):
@@ -222,7 +226,7 @@
         return min(max(in_time_s, LATE_WAIT_FRACTION * left_s), left_s)
 
     def _is_short(self, offer):
-        """Whether a request takes its place for a short time only."""
+        """Whether a request's route has a short processing time."""
         work = self._work_by_route[offer.route]
         return (
             work.count > 0
@@ -230,7 +234,7 @@
         )
 
     def _is_overloaded(self, now):
-        """Whether the queue has not been empty for some time."""
+        """Whether the queue hasn't been empty for ``OVERLOAD_AFTER_S``."""
         return now - self._last_empty_s > OVERLOAD_AFTER_S
 
     def _has_room(self, now):
@@ -258,13 +262,13 @@
         return ErrorKind.TARGET_COLD if self.is_cold else ErrorKind.QUEUE_FULL
 
     def refuse(self, offer, wait_s):
-        """Return the ``Refuse`` of a request that would have had to wait so long."""
+        """Return the ``Refuse`` for a request with an expected wait of ``wait_s``."""
         retry_after_s = wait_s * (1 + RETRY_JITTER_FACTOR * self._random())
         retry_after_s = min(max(retry_after_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
         return Refuse(offer.number, self._refusal_kind, retry_after_s)
 
     def _estimated_wait_s(self, offer, now):
-        """Return about how long ``offer`` would wait for its start."""
+        """Return the estimated wait of ``offer`` for its start, in seconds."""
         rank = self._rank(offer, now)
         ahead = [
             waiting
@@ -277,13 +281,13 @@
         return wait_s
 
     def _slot_wait_s(self, ahead):
-        """Return about when a slot is left after those ahead have each taken one.
+        """Return in how many seconds a slot is left after each of ``ahead`` took one.
 
-        Failure: all work that is ahead, divided by the slots, is when the last of it
-        ends. Symptom: with all slots busy and nobody waiting, a request is refused
-        though the next slot is free much sooner, and slots stand idle. Enough: of so
-        many running requests, whose times vary a lot, the first one ends after one
-        part in so many of their mean time, however long they have run.
+        The time for all running and queued work, divided by the slots, says when the
+        last of it ends. With all slots busy and an empty queue, a request would be
+        refused although a slot becomes free much sooner, and slots would be idle.
+        Processing times vary a lot, so of n running requests the first ends after about
+        1/n of their mean time, however long they have run.
         """
         if len(self._running_by_number) < self.slots:
             return 0.0
@@ -297,20 +301,29 @@
         return self._work_by_route[offer.route].mean_s
 
     def _rank(self, offer, now):
-        """Return what sorts first: in time before late, the more urgent, the shorter.
+        """Return a sort key: in time before late, then by priority, then shorter first.
 
-        Load: more work than slots. Harm: a slot goes to a request whose answer is late
-        anyway while one that could be in time becomes late, too; or a short call, on
-        which work that has begun elsewhere waits, stands behind long requests until
-        that work fails. Limit: what is late or long still gets what nobody else needs,
-        and short work is, by its nature, a small part of the slots.
+        With more work than slots, a late request would take a slot from one that could
+        still be in time. A short call behind long requests would fail the work
+        elsewhere that waits for it. Late and long requests get the slots that no other
+        request needs; short work is a small part of the slots.
         """
         work_s = self._work_by_route[offer.route].mean_s
         is_late = now + work_s > offer.objective_s and not self._is_short(offer)
         return is_late, offer.priority, work_s
 
     def finish(self, number, worked, now):
-        """Take in the end of a request; ``worked`` if the target answered it."""
+        """Record that a request ended and return the decisions that are due.
+
+        Parameters
+        ----------
+        number : int
+            Of the request.
+        worked : bool
+            Whether the target answered it, so that its processing time counts.
+        now : float
+            Seconds of the boot clock.
+        """
         entry = self._running_by_number.pop(number, None)
         if entry is not None and worked:
             started_s, offer = entry
@@ -319,12 +332,12 @@
         return self.settle(now)
 
     def withdraw(self, number, now):
-        """Forget a waiting request that nobody wants any more."""
+        """Remove a queued request that was cancelled; return the decisions due."""
         self._waiting_by_number.pop(number, None)
         return self.settle(now)
 
     def settle(self, now):
-        """Return the decisions on waiting requests that are due."""
+        """Return the ``Start`` and ``Refuse`` decisions due for queued requests."""
         decisions = []
         for number, (_, offer) in list(self._waiting_by_number.items()):
             if self._should_drop(offer, now):
@@ -343,10 +356,10 @@
         return decisions
 
     def _should_drop(self, offer, now):
-        """Whether a waiting request has no chance any more.
+        """Whether a queued request can't be answered any more and should be refused.
 
-        In lasting overload those that can still be in time go first, so one that is
-        late would wait until its deadline.
+        Under lasting overload, requests that can still be in time go first, so a late
+        one would wait until its deadline.
         """
         work_s = self._work_by_route[offer.route].mean_s
         if now + work_s / 2 > offer.deadline_s:
--- a/tamarackhaven/sidecar/_intake.py
+++ b/tamarackhaven/sidecar/_intake.py
@@ -1,4 +1,4 @@
-"""Brings the bodies that other daemons have announced over this VM's link."""
+"""Transfers the bodies that other daemons have announced over this VM's link."""
 
 import asyncio
 
@@ -7,25 +7,25 @@
 from tamarackhaven._clock import boot_s
 from tamarackhaven.sidecar._arrivals import Arrivals
 
-# Looked at again when nothing else happens: a sender may have stopped, and what can't
-# arrive in time any more is refused.
+# How often the bodies are reviewed when no part arrives: a sender may have stopped, and
+# bodies that can't arrive in time any more are refused.
 REVIEW_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False)
 class IncomingBody:
-    """A body that another daemon has.
+    """A body at another daemon that is to be transferred here.
 
     Parameters
     ----------
     size : int
         In bytes.
     ask : callable
-        ``ask(offset, count)`` asks its daemon for a part.
+        ``ask(offset, count)`` requests a part from its daemon.
     data : bytearray
-        What has come.
+        The bytes received so far.
     end : asyncio.Future or None
-        Set to the whole body or a ``Refuse`` while somebody waits for it.
+        Set to the whole body or a ``Refuse`` while ``Intake.bring`` waits for it.
     """
 
     size: int
@@ -35,12 +35,12 @@
 
 
 class Intake:
-    """The bodies on their way to this daemon.
+    """Transfers bodies to this daemon.
 
     Parameters
     ----------
     gate : Gate
-        Of the target; says how long a request may wait, and how it is refused.
+        Of the target; decides how long a request may wait, and makes its refusal.
     metrics : Metrics
         Of the process.
     """
@@ -54,20 +54,20 @@
 
     @property
     def left_bytes(self):
-        """Bytes of bodies that are still to come."""
+        """Bytes not yet received, of all bodies."""
         return self._arrivals.left_bytes
 
     @property
     def bytes_per_s(self):
-        """What the link has carried of late, 0 if that isn't known."""
+        """Recent throughput of the link in bytes per second, 0 if unknown."""
         return self._arrivals.rate.bytes_per_s or 0.0
 
     def expected_s(self, size, offer):
-        """Return about how long a body of ``size`` bytes takes to come."""
+        """Return the estimated seconds to receive a body of ``size`` bytes."""
         return self._arrivals.expected_s(size, offer, boot_s())
 
     async def bring(self, body, offer):
-        """Return the bytes of an ``IncomingBody``, or a ``Refuse``."""
+        """Transfer an ``IncomingBody``; return its bytes, or a ``Refuse``."""
         body.end = asyncio.get_running_loop().create_future()
         self._offer_by_body[body] = offer
         self._arrivals.announce(body, body.size, offer)
@@ -81,7 +81,7 @@
             self._request_parts()
 
     def take(self, body, offset, data):
-        """Take in a part of a body."""
+        """Add a received part to a body; ignore one that isn't expected."""
         if not self._arrivals.came(body, offset, len(data), boot_s()):
             return
         self._metrics.count("tamarackhaven_body_bytes_total", len(data))
@@ -91,7 +91,7 @@
         self._request_parts()
 
     def renew(self, body):
-        """Ask again for what was lost with a link."""
+        """Request again the parts that were lost with a link."""
         self._arrivals.renew(body)
         self._request_parts()
 
--- a/tests/sidecar/test_arrivals.py
+++ b/tests/sidecar/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Which bodies come over a link next, and which are refused, on simulated links."""
+"""Which bodies are transferred next and which are refused, on simulated links."""
 
 import random
 
@@ -14,7 +14,7 @@
 from tamarackhaven.sidecar._gate import Offer
 
 NARROW_BYTES_PER_S = 412_500.0
-# What a short call may lose behind bodies, of the 0.2 s that it has.
+# How long a short call may wait behind bodies, of the 0.2 s that it has.
 MAX_CALL_WAIT_S = 0.1
 
 
@@ -23,8 +23,8 @@
 
 
 def test_a_saturated_link_keeps_a_short_queue():
-    # Guards against: the round trip is judged by parts that stood behind others, so
-    # that the longer the queue is, the longer it may be.
+    # Guards against: the round trip is measured by parts that waited behind others, so
+    # that a longer queue allows an even longer one.
     link = SimulatedLink(NARROW_BYTES_PER_S)
     for number in range(400):
         link.arrivals.announce(number, 60_000, offer(1000.0, 1000.0))
@@ -47,7 +47,7 @@
 
 
 def test_a_stalled_sender_does_not_block_the_others():
-    # Guards against: a daemon that stands still has all parts that may be on their way.
+    # Guards against: a stalled daemon holds all parts that may be in flight.
     arrivals = Arrivals(Patience())
     arrivals.announce("frozen", 10_000, offer())
     arrivals.announce("other", 60_000, offer())
@@ -67,8 +67,8 @@
 
 
 def test_more_bodies_are_in_time_than_in_order_of_arrival():
-    # Load: half as many bytes again as the link carries, in bodies of many sizes. In
-    # order of arrival each is later than the one before, and most are late.
+    # Bodies of many sizes, 1.5 times the bytes that the link carries. In order of
+    # arrival, each would be later than the one before, and most would be late.
     source = random.Random(5)
     sizes = [int(60_000 * source.lognormvariate(-0.2, 0.6)) for _ in range(300)]
     interval_s = sum(sizes) / len(sizes) / NARROW_BYTES_PER_S / 1.5
@@ -88,7 +88,7 @@
         for key, whole_s in link.whole_s_by_key.items()
     )
     assert in_time > 2 * in_time_in_order
-    # What is refused was not begun, so that nearly all that came was of use.
+    # Refused bodies weren't begun, so nearly all bytes that arrived were useful.
     assert refused + in_time > 0.9 * len(sizes)
 
 
@@ -123,7 +123,7 @@
     arrivals.announce("a", 60_000, offer())
     first, *_ = arrivals.asks(0.0)
     arrivals.renew("a")
-    # A part of the former link that comes late after all is not taken twice.
+    # A late part from the former link isn't accepted twice.
     assert not arrivals.came("a", first.offset, first.count, 0.01)
     assert arrivals.asks(0.02)[0] == first
 
@@ -141,8 +141,8 @@
 
 
 def test_a_begun_body_is_completed_even_if_it_becomes_late():
-    # Guards against: a body is late by the time it has half come, shorter ones pass it
-    # for good, and its caller hears after seconds that it did not run.
+    # Guards against: a body becomes late when half of it has arrived, shorter ones keep
+    # passing it, and its caller learns only seconds later that it didn't run.
     source = random.Random(1)
     link = SimulatedLink(NARROW_BYTES_PER_S)
     at_s_by_key = {}
--- a/tests/sidecar/test_gate.py
+++ b/tests/sidecar/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate under load: who starts, who waits, who is sent away."""
+"""Admission under load: which requests start, are queued or are refused."""
 
 import collections
 import heapq
@@ -13,7 +13,7 @@
 
 
 def trained_gate(slots=2, work_s=0.1):
-    """Return a gate that has learned how long work takes."""
+    """Return a gate that has measured processing times of ``work_s``."""
     gate = Gate(slots, lambda: MEAN_RANDOM)
     for number in range(-40, 0):
         gate.offer(Offer(number, "r", 1, 1e9, 1e9), 0.0)
@@ -41,8 +41,8 @@
 
 
 def test_requests_that_cannot_be_answered_in_time_are_refused_at_once():
-    # Load: far more than the target can do. A caller that waits in vain learns of it
-    # late; sent away at once it still has time to come back.
+    # Guards against: a caller with no chance of an answer in time is queued and learns
+    # of it late. Refused at once, it still has time to retry.
     gate = trained_gate(slots=1, work_s=0.5)
     decisions = [gate.offer(offer(number), 0.0) for number in range(20)]
     refused = [each for each in decisions if isinstance(each, Refuse)]
@@ -68,8 +68,8 @@
 
 
 def test_short_calls_start_before_long_requests_of_the_same_priority():
-    # Running work elsewhere waits for its calls. Behind long requests they miss
-    # their deadline, that work fails, and all that it used is lost.
+    # Guards against: short calls miss their deadline behind long requests. The running
+    # work elsewhere that waits for them then fails, and all that it used is lost.
     gate = trained_gate(slots=1)
     for number in range(100, 130):
         gate.offer(offer(number, 1e9, 1e9, route="call"), 0.0)
@@ -99,8 +99,8 @@
 
 @pytest.mark.parametrize(("per_s", "starts"), [(14.0, 17), (4.6, 5), (0.3, 1)])
 def test_cold_starts_are_slightly_above_the_cold_rate(per_s, starts):
-    # A zone comes back cold: at the bare rate most callers are turned away, while half
-    # as much again would make the targets fall over.
+    # At the bare rate, most callers of a zone that comes back cold would be refused; at
+    # 1.5 times the rate the targets would fail.
     assert cold_starts(per_s) == starts
     assert cold_starts(per_s) < 1.5 * per_s + 1
 
@@ -145,8 +145,8 @@
 
 @pytest.mark.parametrize("factor", [1.5, 3.0])
 def test_most_answers_are_in_time_under_overload(factor):
-    # Steady demand of 1.5 and 3 times what the target can do, for twenty seconds.
-    # Without the refusal the queue grows until every answer is late.
+    # Steady demand of 1.5 and 3 times the target's capacity, for twenty seconds.
+    # Without refusals the queue would grow until every answer is late.
     gate = trained_gate(slots=4, work_s=0.1)
     interval_s = 0.1 / 4 / factor
     ends, in_time, late, refused = [], 0, 0, 0
@@ -181,8 +181,9 @@
 
 
 def test_a_request_is_queued_if_the_next_slot_is_free_in_time():
-    # All three slots have just begun; one of them is free after about a third of their
-    # time. Refused, the caller comes back later than it would have been answered.
+    # All three slots have just begun a request; one is free after about a third of
+    # their processing time. Refused, the caller would retry later than it could be
+    # answered.
     gate = trained_gate(slots=3, work_s=0.3)
     for number in range(3):
         assert gate.offer(offer(number, objective_s=0.6), 0.0) == Start(number)
@@ -190,7 +191,26 @@
 
 
 def simulate_overload(seconds=200.0, slots=3, mean_s=0.38, objective_s=0.6, load=1.1):
-    """Play a target with more work than slots; return its answers by timeliness."""
+    """Simulate an overloaded target.
+
+    Parameters
+    ----------
+    seconds : float
+        Simulated time.
+    slots : int
+        Of the target.
+    mean_s : float
+        Mean processing time.
+    objective_s : float
+        For each request, from its arrival.
+    load : float
+        Demand, as a multiple of the target's capacity.
+
+    Returns
+    -------
+    tuple of (float, float)
+        Fractions of the requests that were answered in time and late.
+    """
     generator = random.Random(3)
     gate = Gate(slots, lambda: MEAN_RANDOM)
     events, arrived_s_by_number = [], {}
@@ -218,9 +238,9 @@
 
 
 def test_an_overloaded_target_with_few_slots_is_not_left_idle():
-    # Load: a tenth more than three slots can do. With the time until all of its work
-    # is done taken for the wait, 54.3% of the callers were answered in time and 16.0%
-    # late, the others sent away while slots stood idle.
+    # Demand is a tenth more than three slots can process. When the wait was estimated
+    # as the time until all work ahead is done, 54.3% of the callers were answered in
+    # time and 16.0% late; the others were refused while slots were idle.
     in_time, late = simulate_overload()
     assert in_time > 0.56
     assert in_time + late > 0.72
