--- a/tamarackhaven/sidecar/_budget.py
+++ b/tamarackhaven/sidecar/_budget.py
@@ -1,14 +1,14 @@
-"""Second sends to targets of one service, within a budget that daemons share. Pure."""
+"""Limits retries at targets of one service, within a budget shared by daemons. Pure."""
 
 import collections
 
-# The daemons don't ask each other: each takes its own part. What a repeated run calls
-# counts as repeated there, too, so some room is left for that.
+# The daemons don't coordinate: each uses its own share. Calls made by a retried run
+# count as retries at their services, too, so some of the budget is left for them.
 DIRECT_RETRY_FRACTION = 0.6
 
 
 class RepeatBudget:
-    """Counts requests and repeats of one service in a sliding window.
+    """Counts requests and retries of one service in a sliding window.
 
     Parameters
     ----------
@@ -26,7 +26,15 @@
         self._requests.append(now)
 
     def take(self, daemon_count, now):
-        """Take one repeat if there is room for it; tell whether there was."""
+        """Count a retry if the budget allows one; return whether it did.
+
+        Parameters
+        ----------
+        daemon_count : int
+            Daemons that share the slack.
+        now : float
+            Seconds of the boot clock.
+        """
         window_s = self._settings.window_s
         for times in (self._requests, self._retries):
             while times and now - times[0] > window_s:
--- a/tamarackhaven/sidecar/_choice.py
+++ b/tamarackhaven/sidecar/_choice.py
@@ -1,9 +1,9 @@
-"""Which target of a shared service gets a request. Pure.
+"""Chooses the target of a shared service that gets a request. Pure.
 
-Load: targets differ in speed and slow down for moments; what is known of them is a
-little old. Harm: a slow target collects waiting requests while others idle. Each
-target is judged by the time that a request would take there, from what its daemon
-said last and from what was sent since.
+Targets differ in speed and slow down for moments, and what a daemon knows of their
+load is slightly out of date. Otherwise a slow target would collect queued requests
+while others are idle. So each target is judged by the time that a request would take
+there, from the load that its daemon reported last and the requests sent since.
 """
 
 import attrs
@@ -11,33 +11,57 @@
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.sidecar._messages import Answered, NotRun
 
-# What a daemon said of its load fades: with 100 ms of work a second is ten turns.
+# A load report is out of date after this long: with 100 ms of work, a slot runs ten
+# requests in a second.
 LOAD_TTL_S = 2.0
 # Before any answer, all targets count as equal.
 DEFAULT_WORK_MS = 100.0
-# A target that is slow isn't chosen, and so nothing new is heard of it. What was heard
-# loses half of its difference to the others in this time, so that it is tried again.
+# A target that looks slow isn't chosen, and so no new report of it arrives. A report
+# loses half of its difference to the mean of the targets in this time, so that the
+# target is tried again.
 WORK_HALF_LIFE_S = 4.0
-# Crossing zones takes about a millisecond, and its bytes are paid for: a usual answer
-# costs as much as some hundredths of what it is worth. A target in another zone has to
-# be better by that.
+# Crossing zones takes about a millisecond, and the bytes are paid for: a usual answer
+# costs some hundredths of what it is worth. A target in another zone has to be better
+# by this much.
 CROSS_ZONE_COST_MS = 5.0
 CROSS_ZONE_COST_FRACTION = 0.15
 # A large body pays for each of its bytes: one of 60 kB as much as a tenth of a second.
 CROSS_ZONE_COST_MS_PER_KB = 1.5
-# A target that couldn't be reached is left alone for so long, then for twice as long.
+# A target that couldn't be reached gets no requests for this long, then for twice as
+# long each time.
 MIN_PAUSE_S = 0.5
 MAX_PAUSE_S = 4.0
-# Weight of the newest end in a target's share of failures: some ten ends.
+# Weight of the newest result in a target's failure fraction, which covers about ten
+# results.
 FAILURE_SMOOTHING_FACTOR = 0.1
-# A request that fails costs its caller a second one: a target that fails each second
+# A failed request costs its caller a second one: a target that fails every second
 # request counts as five times as slow.
 FAILURE_COST_FACTOR = 8.0
 
 
 @attrs.define
 class _TargetStats:
-    """What one daemon knows of one target."""
+    """What this daemon knows of one target.
+
+    Parameters
+    ----------
+    load : GateLoad or None
+        Newest load report.
+    load_received_s : float
+        When it was received.
+    work_by_route : dict
+        Mean processing time in milliseconds and when it was received, by route.
+    in_flight : int
+        Requests in flight from this daemon.
+    sent_since_load : int
+        Requests sent since the newest load report.
+    failure_fraction : float
+        Moving average, from 0 to 1.
+    paused_until_s : float
+        Until when the target should get no requests.
+    pause_s : float
+        Length of the last pause after the target couldn't be reached.
+    """
 
     load: object = None
     load_received_s: float = float("-inf")
@@ -57,9 +81,9 @@
     zone : str
         Of the daemon.
     random : callable
-        Gives numbers from 0 to 1.
+        Returns numbers from 0 to 1.
     is_here : callable
-        ``is_here(life)`` whether a target is on this VM.
+        ``is_here(life)`` tells whether a target is on this VM.
     """
 
     def __init__(self, zone, random, is_here=lambda life: False):
@@ -75,15 +99,15 @@
         return stats
 
     def pick(self, targets, route, now, avoid=(), body_bytes=0):
-        """Return a target, or None if all are to be avoided.
+        """Return a target, or None if all are in ``avoid``.
 
         Parameters
         ----------
         targets : sequence of Target
-            Those that take new requests.
+            Those that accept new requests.
         route : str
-            Of the request: a target's means differ by route, and two targets are
-            compared by the same one.
+            Of the request. Processing times differ by route, and two targets are
+            compared by those of the same route.
         now : float
             Seconds of the boot clock.
         avoid : collection of str
@@ -112,11 +136,12 @@
         )
 
     def _transfer_ms(self, target, body_bytes, now):
-        """Return about how long a body takes over the link of a target's VM.
+        """Return the estimated milliseconds to transfer a body to a target's VM.
 
-        Load: bodies that take longer on their way than at the target. Harm: chosen by
-        its slots alone, a target with a full link looks as good as any. Limit: what
-        its daemon said last of its link, as long as that is fresh.
+        A body may take longer to transfer than to process. Chosen by its slots alone, a
+        target with a full link would look as good as any. The estimate uses the link's
+        throughput and backlog as its daemon reported them last, the backlog only while
+        the report is fresh.
         """
         load = self._stats(target.life).load
         if not body_bytes or load is None or not load.link_bytes_per_s:
@@ -128,13 +153,13 @@
         return 1000 * (ahead_bytes + body_bytes) / load.link_bytes_per_s
 
     def cross_zone_cost_ms(self, target, body_bytes):
-        """Return how much later a target may answer that spares a body the crossing."""
+        """Return how many milliseconds it is worth not to send a body across zones."""
         if target.zone == self._zone:
             return 0.0
         return CROSS_ZONE_COST_MS_PER_KB * body_bytes / 1000
 
     def _mean_work_ms(self, targets, route, now):
-        """Return the mean working time of a route; what is older counts less."""
+        """Return a route's mean processing time in ms; older reports count less."""
         total = total_weight = 0.0
         for target in targets:
             known = self._stats(target.life).work_by_route.get(route)
@@ -146,7 +171,7 @@
         return total / total_weight if total_weight else DEFAULT_WORK_MS
 
     def _cost_ms(self, target, route, mean_ms, now):
-        """Return about how long a request would take at ``target``."""
+        """Return the estimated cost of a request at ``target``, in milliseconds."""
         stats = self._stats(target.life)
         work_ms, received_s = stats.work_by_route.get(route, (mean_ms, now))
         work_ms = mean_ms + _age_weight(now - received_s) * (work_ms - mean_ms)
@@ -169,17 +194,17 @@
             cost_ms += CROSS_ZONE_COST_MS + CROSS_ZONE_COST_FRACTION * cost_ms
         if stats.load is not None and stats.load.is_cold:
             cost_ms *= 2
-        # Many daemons with the same news would all choose the same target.
+        # Daemons with the same load reports would all choose the same target.
         return cost_ms * (1 + 0.2 * self._random())
 
     def sent(self, life):
-        """Count a request on its way to a target."""
+        """Count a request that was sent to a target."""
         stats = self._stats(life)
         stats.in_flight += 1
         stats.sent_since_load += 1
 
     def ended(self, life, route, load, failed, now):
-        """Take in the end of a request.
+        """Record the end of a request.
 
         Parameters
         ----------
@@ -188,9 +213,9 @@
         route : str
             Of the request.
         load : GateLoad or None
-            What the target's daemon said with it.
+            Load that the target's daemon reported with the result.
         failed : bool or None
-            Whether the target ran it and failed; None if it didn't run.
+            Whether the target ran the request and failed; None if it didn't run.
         now : float
             Seconds of the boot clock.
         """
@@ -210,29 +235,29 @@
             )
 
     def unreachable(self, life, now):
-        """Leave a target alone for a while."""
+        """Pause a target that couldn't be reached."""
         stats = self._stats(life)
         stats.pause_s = min(max(2 * stats.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
         stats.paused_until_s = now + stats.pause_s
 
     def pause(self, life, seconds, now):
-        """Send a target nothing for ``seconds``, unless all are paused."""
+        """Send a target nothing for ``seconds``, unless all targets are paused."""
         stats = self._stats(life)
         stats.paused_until_s = max(stats.paused_until_s, now + seconds)
 
     def forget(self, lives):
-        """Forget the targets that are not among ``lives``."""
+        """Remove targets that aren't in ``lives`` and have no request in flight."""
         for life in list(self._stats_by_life):
             if life not in lives and not self._stats_by_life[life].in_flight:
                 del self._stats_by_life[life]
 
 
 def has_failed(end):
-    """Tell whether the end of a request speaks against its target; None for neither.
+    """Tell whether a result counts as a failure of its target; None if neither.
 
-    Load: a target that turns away part of what it gets, though it has room. Harm: it
-    looks idle, so that more and more goes there. Limit: it counts as failing by that
-    part, as if it had run and failed.
+    A target that refuses part of its requests although it has room looks idle, and
+    would get ever more of them. So a refusal by the target counts as a failure, as if
+    it had run the request and failed.
     """
     if isinstance(end, Answered):
         return end.status >= 500
@@ -242,5 +267,5 @@
 
 
 def _age_weight(age_s):
-    """Return the part of something heard that still counts at this age."""
+    """Return the weight of a report of this age in seconds, from 1 down to 0."""
     return 0.5 ** (age_s / WORK_HALF_LIFE_S)
--- a/tamarackhaven/sidecar/_key_load.py
+++ b/tamarackhaven/sidecar/_key_load.py
@@ -4,19 +4,19 @@
 
 from tamarackhaven.fleet._model import BUCKET_KEYS
 
-# Load: busy keys change within seconds. Harm: a long memory moves keys that are no
-# longer busy, a short one follows chance. Limit: a count loses half in this time.
+# Busy keys change within seconds: with a longer half-life, keys would be moved that are
+# no longer busy; with a shorter one, the rates would follow chance.
 RATE_HALF_LIFE_S = 1.5
-# A bucket with less than this many requests a second is soon forgotten.
+# Buckets with a lower rate than this are soon removed.
 MIN_RATE_PER_S = 0.15
-# Load: tens of thousands of keys, each asked for now and then. Harm: all of them in
-# each report are most of the bytes between zones. Limit: the busiest decide which keys
-# move; the others count as spread evenly.
+# With tens of thousands of keys that are each requested now and then, full reports
+# would be most of the bytes between zones. The busiest buckets decide which keys move;
+# the others count as spread evenly.
 MAX_REPORTED_BUCKETS = 64
 
 
 class KeyLoad:
-    """Decaying counts; one entry for each bucket that was asked for of late."""
+    """Decaying request counts, with an entry for each recently requested bucket."""
 
     def __init__(self):
         self._count_by_bucket = {}
@@ -31,7 +31,8 @@
     def _decay(self, now):
         if self._decayed_s is None:
             self._decayed_s = now
-        # Once a while is enough: the loss within it is a few parts in a hundred.
+        # Decaying at intervals is accurate enough: the loss within one is a few
+        # percent.
         elapsed_s = now - self._decayed_s
         if elapsed_s < RATE_HALF_LIFE_S / 16:
             return
@@ -44,12 +45,12 @@
         }
 
     def rates(self, now):
-        """Return what is asked for, in requests a second.
+        """Return the request rates, in requests per second.
 
         Returns
         -------
         tuple of (tuple of (int, float), float)
-            The busiest buckets with their rates, and the rate of all others.
+            The busiest buckets with their rates, and the total rate of all others.
         """
         self._decay(now)
         per_s = math.log(2) / RATE_HALF_LIFE_S
--- a/tamarackhaven/sidecar/_offers.py
+++ b/tamarackhaven/sidecar/_offers.py
@@ -1,24 +1,24 @@
-"""To which targets of a shared service one request is offered, in what order. Pure.
-
-Load: targets nearly full, and more daemons than each of them hears of. What a daemon
-knows of a target's load is seconds old, so nearly every target looks alike. Harm: a
-request queues behind long ones at one target while others have a free slot; a call
-that takes 55 ms then takes 150, and the work that waits for it holds a slot of its
-own for as long. So a request waits at its first target only if there is no other;
-else some more are asked for their wait, and it goes where that is shortest.
+"""Decides to which targets of a shared service one request is offered. Pure.
+
+With targets nearly full and many daemons, a daemon's load reports are seconds old, so
+nearly every target looks alike. A request would queue behind long ones at one target
+while others have a free slot; a call that takes 55 ms would take 150 ms, and the work
+that waits for it would hold a slot of its own for as long. So a request waits at its
+first target only if there is no other. Otherwise, a few more targets are asked for
+their expected wait, and the request goes where that is shortest.
 """
 
 import attrs
 
-# A question and its answer are some hundred bytes and take some milliseconds. With
-# seven in ten targets full, three questions find a free one in two of three cases; a
-# fourth adds less than a tenth.
+# A query and its reply are a few hundred bytes and take a few milliseconds. With seven
+# in ten targets full, three queries find a free one in two of three cases; a fourth
+# adds less than a tenth.
 MAX_WAIT_QUERIES = 3
 
 
 @attrs.frozen
 class Send:
-    """Send the request to ``target``; ``waits`` if it may wait there."""
+    """Send the request to ``target``; ``waits`` if it may be queued there."""
 
     target: object
     waits: bool
@@ -33,7 +33,7 @@
 
 @attrs.define
 class Offers:
-    """The offers of one request.
+    """Chooses the next target for one request, from the replies of those before.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
 
     @property
     def has_closed(self):
-        """Whether any target has been tried."""
+        """Whether any target was closed by ``close``."""
         return bool(self._closed_lives)
 
     def next(self, targets, now):
@@ -63,7 +63,7 @@
         Parameters
         ----------
         targets : sequence of Target
-            Those that take new requests.
+            Those that accept new requests.
         now : float
             Seconds of the boot clock.
         """
@@ -85,7 +85,7 @@
         return Send(self._pick(candidates, now), waits=True)
 
     def _targets_to_query(self, targets, now):
-        """Return the best targets of which no wait is known."""
+        """Return the best targets whose wait isn't known."""
         unqueried = [each for each in targets if each.life not in self._wait_s_by_life]
         queried = []
         while unqueried and len(queried) < MAX_WAIT_QUERIES:
@@ -104,10 +104,10 @@
         return self._wait_s_by_life[target.life] + cross_zone_cost_s
 
     def busy(self, target, wait_s):
-        """Note the wait that a target told, in seconds."""
+        """Record the wait that a target expects, in seconds."""
         self._wait_s_by_life[target.life] = wait_s
 
     def close(self, target):
-        """Note that a target needs not be tried again."""
+        """Record that a target must not be tried again."""
         self._closed_lives.add(target.life)
         self._wait_s_by_life.pop(target.life, None)
--- a/tamarackhaven/sidecar/_runs.py
+++ b/tamarackhaven/sidecar/_runs.py
@@ -1,4 +1,4 @@
-"""The requests that this daemon runs at its target, for itself and other daemons."""
+"""Tracks the requests that this daemon runs at its target for all daemons."""
 
 import asyncio
 
@@ -6,23 +6,24 @@
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.sidecar._messages import Lost
 
-# A daemon that lost its link asks again on a new one, until the request's time is over;
-# this long after that nobody does.
+# A daemon that lost its link retries on a new one until the request's deadline. A
+# result is kept this long after that.
 RESULT_TTL_S = 2.0
 MAX_SAFE_LEFT_S = 4.0
-# A copy of a forward may stand in the buffers of a small link for so long after that.
+# A key is kept this long after its result was removed: a copy of the forward may still
+# be in the buffers of a narrow link.
 COMPLETED_KEY_TTL_S = 60.0
-# Load: many bookings a second. Harm: their names fill the memory. Limit: megabytes;
-# the oldest give way.
+# Many bookings a second would fill the memory with their keys. This many take a few
+# megabytes; the oldest are removed first.
 MAX_COMPLETED_KEYS = 20_000
-# How often what has ended is looked through.
+# How often finished requests are looked through.
 CLEANUP_INTERVAL_S = 0.5
-# A link that breaks is dialled again within this time, if its daemon still runs.
+# A link that breaks is reconnected within this time if its daemon still runs.
 REATTACH_S = 0.4
 
 
 class Runs:
-    """Each request once, however often its forward comes.
+    """Runs each request once, however often its forward is received.
 
     Parameters
     ----------
@@ -39,20 +40,20 @@
         self._completed_until_s_by_key = {}
 
     def expected_wait_s(self, query):
-        """Return how long a request would wait here, None if none is taken."""
+        """Return the expected wait here in seconds, None if no request is accepted."""
         return self._inbound.expected_wait_s(query)
 
     def start(self, key, forward, incoming=None):
-        """Return the task of a request; the same one for the same key.
+        """Return the task of a request, the same one for the same key.
 
         Parameters
         ----------
         key : tuple of (str, int)
-            Run of the daemon that sent it, and its number there.
+            Boot of the daemon that sent it, empty for this one, and its number there.
         forward : Forward
             The request.
         incoming : IncomingBody or None
-            Its body, if that has yet to come.
+            Its body, if that has yet to be transferred.
         """
         task = self._task_by_key.get(key)
         if task is None and key in self._completed_until_s_by_key:
@@ -60,12 +61,12 @@
         if task is None:
             run = self._inbound.run(forward, incoming)
             task = asyncio.get_running_loop().create_task(run)
-            # Failure: what ended is forgotten while its sender may still ask for it.
-            # Symptom: a booking runs a second time. Enough: no request is sent again
-            # after its own time.
+            # A result that was removed while its sender may still retry would let a
+            # booking run a second time. No request is sent again after its deadline.
             left_s = max(forward.left_ms, 0.0) / 1000
             if forward.is_safe:
-                # It may run again; kept for minutes, answers would fill the memory.
+                # A safe request may run again; kept for minutes, answers would fill the
+                # memory.
                 left_s = min(left_s, MAX_SAFE_LEFT_S)
             self._retained_until_s_by_key[key] = boot_s() + left_s + RESULT_TTL_S
             self._task_by_key[key] = task
@@ -74,7 +75,7 @@
         return task
 
     def _drop_finished(self):
-        """Forget what ended and can't be asked for any more."""
+        """Remove finished requests that can't be retried any more."""
         now = boot_s()
         if now < self._next_cleanup_s:
             return
@@ -88,7 +89,7 @@
         self._drop_completed_keys(now)
 
     def _drop_completed_keys(self, now):
-        """Forget unsafe requests of which no copy can be on its way any more."""
+        """Remove keys of unsafe requests of which no copy can arrive any more."""
         completed = self._completed_until_s_by_key
         while completed:
             oldest = next(iter(completed))
@@ -97,10 +98,10 @@
             del completed[oldest]
 
     def cancel(self, key):
-        """Stop a request that nobody waits for any more.
+        """Cancel a request for which no caller waits any more.
 
-        An unsafe one that its target works on goes on: broken off, nobody could tell
-        whether it ran.
+        An unsafe request that was sent to the target continues: if it were cancelled,
+        it would be unknown whether it ran.
         """
         task = self._task_by_key.get(key)
         if task is None or task.done():
@@ -120,7 +121,7 @@
 
 
 def _lost_future(forward):
-    """Return the end of an unsafe request that ran once and is forgotten."""
+    """Return a future with the result of an unsafe request that ran and was removed."""
     lost = asyncio.get_running_loop().create_future()
     lost.set_result(Lost(forward.number, ErrorKind.FORWARD_LOST.name))
     return lost
--- a/tests/sidecar/test_choice.py
+++ b/tests/sidecar/test_choice.py
@@ -39,8 +39,9 @@
 
 
 def test_targets_are_compared_by_processing_times_of_the_requested_route(chooser):
-    # One target got many short calls of late, the other long requests. By the mean of
-    # all, the first looks faster and gets ever more, though it is the slower one.
+    # Guards against: of two targets, the slower one has recently got many short calls
+    # and the other one long requests. By the mean over all routes the slower one would
+    # look faster and get ever more requests.
     report_load(chooser, A, "call", work_ms=80.0)
     report_load(chooser, A, "long", work_ms=900.0)
     report_load(chooser, B, "long", work_ms=400.0)
@@ -66,7 +67,8 @@
 
 
 def test_a_large_body_stays_in_its_zone_if_that_is_nearly_as_fast(chooser):
-    # Uploads are most of the bytes between availability zones, and those are paid for.
+    # Uploads are most of the bytes between availability zones, and those bytes are paid
+    # for.
     report_load(chooser, A, running=10, waiting=2)
     report_load(chooser, C, running=0)
     assert chooser.pick([A, C], "r", 0.1) is C
@@ -76,8 +78,9 @@
 
 
 def test_a_slow_target_is_tried_again_once_its_report_is_old(chooser):
-    # A target was slow for some seconds. It gets nothing, so nothing is heard of it;
-    # remembered for ever, it would stay idle after it has recovered.
+    # Guards against: a target was slow for some seconds. It gets no requests, so no new
+    # load report of it arrives; if the old one never lost weight, the target would stay
+    # idle after it has recovered.
     report_load(chooser, A, work_ms=1000.0)
     report_load(chooser, B, running=5, work_ms=100.0, now=20.0)
     assert chooser.pick([A, B], "r", 0.1) is B
@@ -107,8 +110,8 @@
 
 
 def test_a_target_that_refuses_requests_is_avoided(chooser):
-    # A faulty target refuses half of what it gets. It runs little, so it looks like the
-    # one with most room, and gets most of all requests.
+    # Guards against: a faulty target refuses half of its requests. It runs few, so it
+    # looks like the one with the most free slots and gets most requests.
     refused = NotRun(1, ErrorKind.TARGET_REFUSED.name, was_offered=True)
     answered = Answered(2, 200, (), b"")
     for number in range(10):
--- a/tests/sidecar/test_offers.py
+++ b/tests/sidecar/test_offers.py
@@ -65,8 +65,8 @@
 
 
 def test_a_request_refused_at_queried_targets_is_sent_to_others(offers):
-    # The asked targets filled up meanwhile: the request is refused at each, and then
-    # waits at one that was not asked.
+    # The queried targets have filled up meanwhile: the request is refused at each, and
+    # then queued at one that wasn't queried.
     offers.busy(offers.next(TARGETS, 0.0).target, 0.3)
     for target in offers.next(TARGETS, 0.0).targets:
         offers.busy(target, 0.1)
@@ -80,9 +80,17 @@
 
 
 class Simulation:
-    """Many daemons, each with a caller's share of short calls and long requests.
+    """Many daemons whose callers send short calls and long requests in equal parts.
 
-    Each daemon knows of a target's load what its own requests brought back.
+    A daemon knows a target's load only from the results of its own requests.
+
+    Parameters
+    ----------
+    queries_waits : bool
+        Whether daemons query the wait at other targets; otherwise a request is queued
+        at its first target.
+    daemons, targets : int
+        How many there are.
     """
 
     WORK_S = {"call": 0.055, "long": 0.4}
@@ -100,7 +108,15 @@
         self.request_by_number = {}
 
     def run(self, seconds=30.0, utilization=0.85):
-        """Return the mean wait of calls in seconds, and the part that was refused."""
+        """Return the mean wait of calls in seconds and the fraction refused.
+
+        Parameters
+        ----------
+        seconds : float
+            Simulated time.
+        utilization : float
+            Demand, as a fraction of the capacity of all targets.
+        """
         slots = sum(each.slots for each in self.targets)
         mean_s = 0.5 * sum(self.WORK_S.values())
         now, interval_s = 0.0, mean_s / (utilization * slots)
@@ -161,9 +177,10 @@
 
 
 def test_calls_wait_less_if_daemons_query_waits_first():
-    # Load: 60 daemons before 18 nearly full targets. Each daemon hears of a target's
-    # load every other second, so without a question the calls queue behind long
-    # requests while other targets have free slots; what waits for the calls gets late.
+    # Guards against: 60 daemons share 18 nearly full targets, and each gets a target's
+    # load only every other second. Without queries, calls queue behind long requests
+    # while other targets have free slots, and the work that waits for the calls becomes
+    # late.
     plain_wait_s, plain_refused = Simulation(queries_waits=False).run()
     queried_wait_s, queried_refused = Simulation(queries_waits=True).run()
     assert queried_wait_s < 0.5 * plain_wait_s
--- a/tests/sidecar/test_runs.py
+++ b/tests/sidecar/test_runs.py
@@ -1,4 +1,4 @@
-"""Each forward runs once, for as long as it can be asked for again."""
+"""Each forward runs once, for as long as it can be retried."""
 
 import asyncio
 
@@ -23,9 +23,9 @@
 
 
 def test_a_long_booking_retried_late_runs_once(monkeypatch):
-    # A route allows a minute. The booking runs at once, its answer is lost with the
-    # link, and the link comes back half a minute later: the same number is asked for
-    # again, and must not run again.
+    # Guards against: a route has a timeout of one minute. A booking runs at once, its
+    # answer is lost with the link, and the link is back half a minute later: the same
+    # number is sent again and runs again.
     async def test(runs, target, clock):
         booking = attrs.evolve(FORWARD, is_safe=False, left_ms=60_000.0)
         await runs.start(("one", 1), booking)
@@ -50,8 +50,9 @@
 
 
 def test_a_delayed_duplicate_of_a_booking_does_not_run(monkeypatch):
-    # Guards against: a booking is answered, and a copy of its forward comes out of a
-    # small link seconds later, when the booking is forgotten: it runs a second time.
+    # Guards against: a booking is answered, and a duplicate of its forward leaves the
+    # buffers of a narrow link seconds later. By then the booking's result is removed,
+    # so it runs a second time.
     async def test(runs, target, clock):
         booking = attrs.evolve(FORWARD, is_safe=False, left_ms=1500.0)
         await runs.start(("one", 1), booking)
@@ -66,7 +67,7 @@
 
 
 def test_keys_of_bookings_are_removed_once_no_duplicate_can_arrive(monkeypatch):
-    # Guards against: the names of all bookings of a daemon's life fill its memory.
+    # Guards against: the keys of all bookings of a daemon's life fill its memory.
     async def test(runs, target, clock):
         booking = attrs.evolve(FORWARD, is_safe=False, left_ms=100.0)
         await runs.start(("one", 1), booking)
