--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -1,15 +1,15 @@
-"""The keys of a target that is told them by calls. Pure.
+"""Tracks the keys of a target that is told by calls which keys it holds. Pure.
 
 Why no two targets hold one key:
 
-- A call to hold keys counts from its arrival. It arrives within ``CALL_TIMEOUT_S``, or
-  its connection is closed. So with the time it names, and the slowest clock, what it
-  gives ends before the daemon's lease ends, whether it was answered or not.
-- Keys count as let go only once the target has answered the call to release them, and
-  once everything has run out that a call without an answer could still give it: such a
-  call may be carried out after the release.
+- A hold lasts from the arrival of its call. The call arrives within ``CALL_TIMEOUT_S``,
+  or its connection is closed. So even on the slowest clock, the hold that the call
+  gives ends before the daemon's lease does, whether the call was answered or not.
+- Keys count as released only once the target has answered the call to release them, and
+  once every hold has expired that an unanswered call could still give: such a call may
+  be executed after the release.
 - A daemon that has just started doesn't know what an earlier process told the target.
-  It counts all keys as held until the longest lease of that process has run out.
+  It counts all keys as held until the longest lease of that process has expired.
 """
 
 import enum
@@ -26,25 +26,24 @@
     KeyHolds,
 )
 
-# The target is on the same VM and answers at once; one that doesn't may carry the call
-# out later.
+# The target is on the same VM and answers at once. A target that doesn't may execute
+# the call later.
 CALL_TIMEOUT_S = 0.4
-# A release is answered when the work on its keys has ended. It may be lost as well, and
-# does no harm twice.
+# A release is answered once the work on its keys has ended. The call may be lost; a
+# release that is executed twice does no harm.
 RELEASE_TIMEOUT_S = 1.5
-# Load: dozens of ranges. Harm: a call for each of them at each new grant, several times
-# a second. Limit: a hold is renewed once it would last this much longer.
+# With dozens of ranges, each new grant would cause a call for each of them several
+# times a second. A hold is renewed only once the renewal extends it by this long.
 MIN_EXTENSION_S = 0.6
-# Load: many ranges at once, and calls that hang. Harm: one connection waits behind
-# another, or the target's connections are used up. Limit: so many calls of each kind at
-# a time.
+# Limits of the calls in flight. With many ranges and calls that hang, further calls
+# would wait for a connection, or the target's connections would run out.
 MAX_OPEN_GRANTS = 4
 MAX_OPEN_RELEASES = 8
 
 
 @attrs.frozen
 class GrantOrder:
-    """Tell the target to hold keys.
+    """A call that tells the target to hold keys.
 
     Parameters
     ----------
@@ -55,11 +54,11 @@
     fence : int
         Fencing token.
     hold_s : float
-        For how long, from when the call arrives.
+        Duration of the hold, from the arrival of the call.
     handover : str
         What the former owner released the keys with; may be empty.
     made_s : float
-        When it was decided, in seconds of the boot clock.
+        When the order was made, in seconds of the boot clock.
     """
 
     number: int
@@ -73,7 +72,7 @@
 
 @attrs.frozen
 class ReleaseOrder:
-    """Tell the target to let go of keys; fields as in ``GrantOrder``."""
+    """A call that tells the target to release keys; fields as in ``GrantOrder``."""
 
     number: int
     first: int
@@ -87,24 +86,24 @@
 
     DONE = "done"
     SUPERSEDED = "superseded"  # the target has seen a higher token
-    UNANSWERED = "unanswered"  # it may be carried out later
+    UNANSWERED = "unanswered"  # it may be executed later
     NOT_SENT = "not sent"
 
 
 @attrs.frozen
 class _Span:
-    """Keys that the target was told to hold under one token.
+    """Keys that the target was told to hold under one fencing token.
 
     Parameters
     ----------
-    held_until_s : float
-        Until when it certainly holds them, by its answers.
+    confirmed_until_s : float
+        Until when it holds them, by the calls that it answered.
     until_s : float
-        When the last thing that could give them has run out.
-    late_until_s : float
-        The same for calls without an answer alone.
+        When the last hold that any call may have given has expired.
+    unanswered_until_s : float
+        As ``until_s``, for unanswered calls alone.
     handover : str or None
-        What it was released with; None before.
+        Handover of its release, None until the release is answered.
     """
 
     first: int
@@ -117,16 +116,16 @@
 
     @property
     def is_released(self):
-        """Whether the target has answered the call to release."""
+        """Whether the target has answered the call to release the keys."""
         return self.handover is not None
 
     def is_inside(self, other):
-        """Whether all its keys are keys of ``other``."""
+        """Whether all keys of this span are keys of ``other``."""
         return other.first <= self.first and self.last <= other.last
 
 
 class CalledHolds(KeyHolds):
-    """Keys told by calls.
+    """The keys of one life of a target that is told them by calls.
 
     Parameters
     ----------
@@ -143,10 +142,10 @@
         self._past_releases = []
         self._earlier_holds_until_s = None
 
-    # What comes in.
+    # Incoming: grants, heartbeats and results of calls.
 
     def take_grant(self, grant, asked_s):
-        """Take in a grant; its lease counts from when it was asked for."""
+        """Apply a grant; its lease counts from when it was requested."""
         former = self._grant
         super().take_grant(grant, asked_s)
         if self._grant is not None and (
@@ -155,22 +154,23 @@
             self._split_spans(self._grant.ranges)
 
     def heard(self, beat, now):
-        """Take in a heartbeat of this life; it says nothing about keys."""
+        """Record a heartbeat of this life; the reply says nothing about keys."""
         if self._earlier_holds_until_s is None:
-            # The first heartbeat of a life: nobody can have told it anything before.
+            # The first heartbeat of a life: no earlier process can have told it to hold
+            # keys.
             is_new = beat.sequence <= 1
             self._earlier_holds_until_s = now if is_new else now + self._lease.lease_s
         return HeartbeatReply()
 
     def ended(self, order, end, now, handover=""):
-        """Take in how a call ended.
+        """Record how a call ended.
 
         Parameters
         ----------
         order : GrantOrder or ReleaseOrder
             From ``due``.
         end : OrderEnd
-            How it ended.
+            How the call ended.
         now : float
             Seconds of the boot clock.
         handover : str
@@ -192,12 +192,13 @@
         confirmed_until_s = order.made_s + order.hold_s
         for span in self._inside(order):
             if span.fence < order.fence:
-                # Its token is below one that the target has seen.
+                # The target has accepted a higher token, so it no longer holds these
+                # keys.
                 self._spans.remove(span)
         self._update_spans(order, confirmed_until_s=confirmed_until_s)
 
     def _update_spans(self, order, **fields):
-        """Change the spans of an order; a time only ever rises."""
+        """Update the spans of an order; a time is only ever raised."""
         for number, span in enumerate(self._spans):
             if span.fence != order.fence or not span.is_inside(order):
                 continue
@@ -209,7 +210,7 @@
             }
             self._spans[number] = attrs.evolve(span, **raised)
 
-    # What goes out.
+    # Outgoing calls.
 
     def due(self, now):
         """Return the calls to make now, as a list; each must be ``ended`` later."""
@@ -265,7 +266,7 @@
         return orders
 
     def _record_grant_sent(self, order):
-        """Note that a call may give the target its keys from now on."""
+        """Record that a call may give the target its keys from now on."""
         parts = [each for each in self._inside(order) if each.fence == order.fence]
         is_whole = sum(each.last - each.first + 1 for each in parts) == (
             order.last - order.first + 1
@@ -298,7 +299,7 @@
         return [span for span in self._spans if span.is_inside(keys)]
 
     def _confirmed_until_s(self, row, span_by_keys):
-        """Return until when the target certainly holds all keys of a granted row."""
+        """Return until when the target has confirmed all keys of a granted row."""
         exact = span_by_keys.get((row.first, row.last, row.fence))
         if exact is not None and not exact.is_released:
             return exact.confirmed_until_s
@@ -312,11 +313,12 @@
         return min(each.confirmed_until_s for each in parts)
 
     def _own_handover(self, row):
-        """Return what this life itself released a row with that came back to it.
+        """Return the handover with which this life released a row that came back.
 
-        Failure: a leader that moves keys is lost after their release, and the next
-        one leaves them where they are. Symptom: they come back slow, as if from a
-        stranger. Enough: under the same token nobody else has had them.
+        A leader that moves keys may be lost after their release, and the next leader
+        leaves the keys where they are. Without their handover they'd be slow, as if
+        they came from a lost owner. Under the same fencing token no other target has
+        held them.
         """
         for fence, release in reversed(self._past_releases):
             is_covered = release.first <= row.first and row.last <= release.last
@@ -325,7 +327,7 @@
         return ""
 
     def _split_spans(self, rows):
-        """Split spans, so that each lies inside one of ``rows`` or outside of all."""
+        """Split spans so that each lies inside one of ``rows`` or outside of all."""
         edges = sorted({each.first for each in rows} | {each.last + 1 for each in rows})
         spans = []
         for span in self._spans:
@@ -339,7 +341,7 @@
         self._spans = spans
 
     def _drop_expired(self, now):
-        """Drop spans that the target certainly holds no more, and note releases."""
+        """Remove spans that the target can't hold any more; record their releases."""
         kept = []
         released = []
         for span in self._spans:
@@ -354,10 +356,10 @@
         self._spans = kept
         self._record_releases(released, now)
 
-    # Questions.
+    # Queries.
 
     def holds(self, key, now):
-        """Whether the target has answered that it holds ``key``, and still does."""
+        """Whether the target has confirmed that it holds ``key``, and still does."""
         if not self.is_granted(key, now):
             return False
         return any(
@@ -368,7 +370,7 @@
         )
 
     def is_known(self, now):
-        """Whether nothing runs any more that an earlier process told the target."""
+        """Whether all holds that an earlier process may have given have expired."""
         return (
             self._earlier_holds_until_s is not None
             and now >= self._earlier_holds_until_s
@@ -383,12 +385,12 @@
 
     @property
     def settled(self):
-        """The newest grant: what it leaves out is held until it is released."""
+        """The newest grant; keys that it leaves out are held until they're released."""
         return self._grant.grant if self._grant else GrantId()
 
     @property
     def refused(self):
-        """What the target won't take under its present token, as ``Hold`` tuple."""
+        """What the target refuses under its present token, as a tuple of ``Hold``."""
         if self._grant is None:
             return ()
         rows = {Hold(row.first, row.last, row.fence) for row in self._grant.ranges}
@@ -396,5 +398,5 @@
 
 
 def _latest_end_s(order):
-    """Return when everything that a grant could give has run out."""
+    """Return when every hold that a grant order could give has expired."""
     return order.made_s + CALL_TIMEOUT_S + order.hold_s * SLOW_CLOCK_FACTOR
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -1,4 +1,4 @@
-"""Carries out the calls by which a target is told its keys."""
+"""Makes the calls by which a target is told its keys."""
 
 import asyncio
 
@@ -13,29 +13,29 @@
 )
 from tamarackhaven.sidecar._target_client import SendEnd, any_reply
 
-# What is due without any event: renewals, and calls that failed.
+# How often due calls are looked for without any event: renewals and retries.
 POLL_INTERVAL_S = 0.1
 
 
 class KeyCalls:
-    """Makes the calls that ``CalledHolds`` says are due, side by side.
+    """Makes the calls that ``CalledHolds`` says are due, concurrently.
 
     Parameters
     ----------
     state : TargetState
         Of the target.
     client : TargetClient
-        Its connections for requests; releases go over them, too.
+        Its connections for requests; releases use them, too.
     grants_client : TargetClient
-        Connections that carry nothing but calls to hold keys.
+        Connections used only for calls to hold keys.
     dialect : Dialect
-        Writes calls and reads their answers.
+        Encodes calls and decodes their answers.
     log : Log
         Of the part ``keys``.
     metrics : Metrics
         Of the process.
     on_held, on_released : callable
-        Called once the target holds keys, and once it has let go of some.
+        Called once the target holds keys, and once it has released some.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._tasks = set()
 
     async def run(self):
-        """Look for due calls until cancelled."""
+        """Make due calls until cancelled."""
         try:
             while True:
                 self.kick()
@@ -62,11 +62,11 @@
                 task.cancel()
 
     def heard(self):
-        """Be ready to call the life that a heartbeat has just come from.
+        """Open the connections for calls to the life that just sent a heartbeat.
 
-        Load: all slots of a target are busy, and so are the connections to it. Harm:
-        a new owner gets no call through, as a fresh connection may lead to another
-        life. Limit: connections of their own for as many calls as go side by side.
+        While all slots of a target and the connections to it are busy, a new owner
+        would get no call through, as a new connection may lead to another life. So
+        there are dedicated connections for as many calls as may be in flight.
         """
         if isinstance(self._state.keys, CalledHolds):
             self._start(self._grants_client.keep(MAX_OPEN_GRANTS))
@@ -123,14 +123,15 @@
         is_release = isinstance(order, ReleaseOrder)
         request = call.method, call.target, call.headers, call.body
         if is_release:
-            # A later life holds nothing of the former one: to let go does no harm.
+            # A later life holds no keys of the former one, so a release does it no
+            # harm.
             sending = self._client.send(*request, any_reply)
         else:
             sending = self._grants_client.send_to_life(*request, self._state.heard_s)
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
         try:
-            # Cancelled by the timeout, it closes its connection, so that nothing that
-            # was not taken in by now still arrives.
+            # Cancelled by the timeout, the client closes its connection, so that bytes
+            # the target hasn't read by now don't arrive later.
             sent = await asyncio.wait_for(sending, timeout_s)
         except TimeoutError:
             return OrderEnd.UNANSWERED, "", "timeout"
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -1,8 +1,9 @@
-"""What one life of a target was told to hold, and what it may still hold. Pure.
+"""Tracks the keys that one life of a target was told to hold and may still hold. Pure.
 
 A target is told its keys in one of two ways, as its service's configuration says: in
-the answers to its heartbeats (``HeartbeatHolds``) or by calls to it
-(``_called_holds.CalledHolds``). The rest of the daemon asks both the same questions.
+the replies to its heartbeats (``HeartbeatHolds``) or by calls to it
+(``_called_holds.CalledHolds``). Both have the same interface for the rest of the
+daemon.
 """
 
 import abc
@@ -11,18 +12,18 @@
 
 from tamarackhaven.fleet._model import GrantId
 
-# A target's clock may run this part slow, so that what it is told to hold lasts
-# longer; the platform names 2%, the rest is for the way of the answer.
+# A target's clock may be slow, so that a hold lasts longer than it was told. The
+# platform allows 2%; the rest covers the transfer of the reply.
 SLOW_CLOCK_FACTOR = 1.025
-# A hold shorter than this has run out before the target has read of it.
+# A shorter hold expires before the target has read the message that gives it.
 MIN_HOLD_S = 0.1
-# Releases are told to the leader for so long; it needs them within a heartbeat.
+# How long releases are reported to the leader, which needs them within a heartbeat.
 RELEASE_TTL_S = 15.0
 
 
 @attrs.frozen
 class HeartbeatReply:
-    """The answer: keys to hold, or None to say nothing about keys."""
+    """The reply to a heartbeat: keys to hold, None to say nothing about keys."""
 
     ranges: tuple | None = None
     hold_s: float = 0.0
@@ -36,7 +37,7 @@
     lease : FleetLeaseSettings
         Of the daemon.
     life : str
-        Grants for other lives are not taken.
+        Grants for other lives are ignored.
     """
 
     def __init__(self, lease, life):
@@ -47,7 +48,7 @@
         self._releases = []
 
     def take_grant(self, grant, asked_s):
-        """Take in a grant; its lease counts from when it was asked for."""
+        """Apply a grant; its lease counts from when it was requested."""
         if grant.life != self._life:
             return
         if self._grant is not None and grant.grant < self._grant.grant:
@@ -56,20 +57,20 @@
         self._lease_until_s = asked_s + grant.lease_s
 
     def is_granted(self, key, now):
-        """Whether the target has held ``key`` or is about to be told to."""
+        """Whether ``key`` is granted: the target holds it or is about to be told to."""
         if self._grant is None or now >= self._lease_until_s:
             return False
         return _covers(self._grant.ranges, key)
 
     @property
     def keys_index(self):
-        """Log index of the owners that the newest grant goes by, -1 without one."""
+        """Log index of the key owners behind the newest grant, -1 without one."""
         return self._grant.keys_index if self._grant else -1
 
     def _max_hold_s(self, now, delay_s=0.0):
         """Return for how long the target may be told to hold, below 0 if not at all.
 
-        The hold may begin ``delay_s`` seconds later than ``now``.
+        The hold may begin ``delay_s`` seconds after ``now``.
         """
         hold_s = (self._lease_until_s - now - delay_s) / SLOW_CLOCK_FACTOR
         return min(hold_s, self._lease.longest_hold_s)
@@ -82,12 +83,12 @@
 
     @property
     def releases(self):
-        """What the target released of late, as a tuple of ``Release``."""
+        """Releases of the last ``RELEASE_TTL_S``, as a tuple of ``Release``."""
         return tuple(each for _, each in self._releases)
 
     @abc.abstractmethod
     def heard(self, beat, now):
-        """Take in a heartbeat of this life; return the ``HeartbeatReply``."""
+        """Record a heartbeat of this life; return the ``HeartbeatReply``."""
 
     @abc.abstractmethod
     def holds(self, key, now):
@@ -108,12 +109,12 @@
 
     @property
     def refused(self):
-        """What the target won't take under its present token, as ``Hold`` tuple."""
+        """What the target refuses under its present token, as a tuple of ``Hold``."""
         return ()
 
 
 class HeartbeatHolds(KeyHolds):
-    """Keys told in the answers to heartbeats, which list what the target holds."""
+    """Keys told in the replies to heartbeats, which list what the target holds."""
 
     def __init__(self, lease, life):
         super().__init__(lease, life)
@@ -125,7 +126,7 @@
         self._heartbeat_received_s = float("-inf")
 
     def heard(self, beat, now):
-        """Take in a heartbeat of this life; return the ``HeartbeatReply``."""
+        """Record a heartbeat of this life; return the ``HeartbeatReply``."""
         self._settled = self._sent_grant
         self._heartbeat = beat
         self._heartbeat_received_s = now
@@ -141,10 +142,10 @@
     def holds(self, key, now):
         """Whether the target holds ``key``, as far as this daemon knows.
 
-        Failure: the daemon restarts while its target goes on. Symptom: the target's
-        keys are unserved until it has been told again to hold them, a heartbeat
-        later. Enough: what it says that it holds counts until then; a target that
-        holds no longer refuses the request itself.
+        If the daemon restarts while its target runs on, the target's keys would be
+        unserved until the next heartbeat, when it is told again to hold them. Until
+        then, the holds that its heartbeat lists count; a target that no longer holds a
+        key refuses the request itself.
         """
         held = self._sent_ranges
         if now >= self._sent_until_s:
@@ -156,12 +157,12 @@
         return _covers(held, key)
 
     def held(self, now):
-        """Return what the newest heartbeat says, as a tuple of ``Hold``."""
+        """Return what the newest heartbeat lists, as a tuple of ``Hold``."""
         return self._heartbeat.holds if self._heartbeat else ()
 
     @property
     def settled(self):
-        """The grant told to the target before its newest heartbeat."""
+        """The grant sent to the target before its newest heartbeat."""
         return self._settled
 
 
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -1,7 +1,7 @@
-"""Daemons that tell their targets keys by calls, a leader, and all that goes wrong.
+"""Simulates daemons that tell their targets keys by calls, and a leader, with faults.
 
-The leader, its state, the daemons' and the targets' books are the real code; the
-network, the clock and the targets are played. ``World.check`` looks at who holds what
+The leader, its state, and the key holds of the daemons are the real code; the network,
+the clock and the targets are simulated. ``World.check`` looks for keys with two holders
 after every step.
 """
 
@@ -46,12 +46,12 @@
 
 
 class TwoHoldersError(AssertionError):
-    """Two lives held one key, or a token was not above all others."""
+    """Two lives held one key, or a fencing token wasn't above all earlier ones."""
 
 
 @attrs.define
 class HeldRange:
-    """Keys that a played target holds."""
+    """Keys that a simulated target holds."""
 
     first: int
     last: int
@@ -60,7 +60,7 @@
 
 
 class SimulatedTarget:
-    """One life of a target; its clock is as slow as it may be."""
+    """One life of a target, with the slowest clock that is allowed."""
 
     def __init__(self, world, name, born_ms):
         self.world = world
@@ -71,10 +71,10 @@
         self.seen = []
 
     def grant(self, order, arrived_s, now):
-        """Carry out a grant; tell whether it was taken."""
+        """Execute a grant; return whether it was accepted."""
         until_s = arrived_s + order.hold_s / SLOWEST_CLOCK
         if until_s <= now:
-            # Carried out so late that its time is over.
+            # Executed so late that the hold has expired.
             return True
         if any(
             overlaps(each, order) and each.fence > order.fence for each in self.seen
@@ -87,7 +87,7 @@
         return True
 
     def release(self, order):
-        """Carry out a release."""
+        """Execute a release."""
         self._remove_keys(order, order.fence)
 
     def _remove_keys(self, keys, fence):
@@ -115,14 +115,14 @@
         self.restart_daemon()
 
     def restart_daemon(self):
-        """Begin with a process that knows nothing."""
+        """Replace the daemon by a new process that has no state."""
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
         self.state.tell_keys_by(HoldOrders.CALLS)
         self.next_report_s = self.next_beat_s = self.world.now
 
     def restart_target(self):
-        """Begin with a target that holds nothing."""
+        """Replace the target by a new life that holds no keys."""
         born_ms = next(self.world.birth_times_ms)
         self.target = SimulatedTarget(self.world, f"i-{self.host}", born_ms)
         self.next_beat_s = self.world.now
@@ -154,7 +154,7 @@
         self.state.take(beat, self.world.now)
 
     def make_report(self):
-        """Return a report with keys that are busy now and then."""
+        """Return a report in which random keys are busy at random rates."""
         state, world = self.state, self.world
         busy = world.random.randrange(0, 4096)
         rate = 0.0 if world.is_calm else world.random.choice((0.0, 60.0, 120.0))
@@ -176,7 +176,7 @@
         world.later(delay_s, lambda: self.world.answer(self, report, asked_s, boot))
 
     def send(self, keys, order):
-        """Make a call; one in four goes wrong in some way."""
+        """Make a call; a fraction of them, ``World.faults``, fails in some way."""
         world, target, boot = self.world, self.target, self.boot
         is_release = isinstance(order, ReleaseOrder)
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
@@ -197,7 +197,8 @@
                 keys.ended(order, result, world.now, "token")
 
         if outcome < world.faults * 0.5:
-            # It arrives just before the timeout, or is carried out later.
+            # The call arrives before the timeout but is unanswered; it may be executed
+            # seconds later.
             arrival_delay_s = world.random.uniform(0.0, CALL_TIMEOUT_S)
             arrived_s = world.now + arrival_delay_s
             extra_delay_s = world.random.choice((0.0, world.random.uniform(2.0, 12.0)))
@@ -216,17 +217,17 @@
 
 
 class World:
-    """All machines, one leader, and the time.
+    """Simulated VMs, one leader and the clock.
 
     Parameters
     ----------
     seed : int
-        Of everything that is drawn.
+        Of the random generator.
     faults : float
-        Part of the calls that go wrong.
+        Fraction of calls that fail.
     """
 
-    # Once true, nothing goes wrong and no key is busy.
+    # If true, no faults are injected and no key is busy.
     is_calm = False
 
     def __init__(self, seed, faults=0.25):
@@ -246,11 +247,11 @@
         self.vms = [VM(self, number) for number in range(1, 4)]
 
     def later(self, delay_s, action):
-        """Do something in ``delay_s`` seconds."""
+        """Run ``action`` in ``delay_s`` seconds."""
         self._scheduled.append((self.now + delay_s, action))
 
     def answer(self, vm, report, asked_s, boot):
-        """Play the leader's part of one report."""
+        """Simulate the leader's handling of one report."""
         leader = self.leader
         leader.report(report, self.now)
         grant = leader.grant(report, self.state, self.now)
@@ -262,7 +263,7 @@
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
     def run(self, seconds):
-        """Let time pass; draw restarts, lost leaders and silent daemons."""
+        """Advance the clock; inject restarts, leader changes and report delays."""
         until_s = self.now + seconds
         while self.now < until_s:
             self.now += STEP_S
@@ -278,7 +279,7 @@
             self.check()
 
     def run_leader(self):
-        """Play a look of the leader; what it decides is committed at once."""
+        """Run a tick of the leader; its commands are committed at once."""
         for command in self.leader.tick(self.state, self.now):
             self.index += 1
             self.state.apply(self.index, command)
@@ -296,7 +297,7 @@
             self.leader = Leadership(self.leader.term + 1, self.lease_s, self.now)
 
     def check(self):
-        """Fail if two lives hold one key, or a token doesn't rise."""
+        """Raise ``TwoHoldersError`` if two lives hold one key."""
         held = []
         for vm in self.vms:
             target = vm.target
@@ -309,7 +310,7 @@
                 )
 
     def check_token(self, target, order):
-        """Fail if a life takes a token that isn't above all that others had."""
+        """Raise ``TwoHoldersError`` if a token isn't above all that other lives had."""
         entry = (target, order.first, order.last, order.fence)
         if entry in self._tokens_taken:
             return
@@ -320,7 +321,7 @@
         self._tokens_taken.add(entry)
 
     def served(self):
-        """Return the part of the keys that some target holds now."""
+        """Return the fraction of the keys that some target holds now."""
         count = sum(
             each.last - each.first + 1 for vm in self.vms for each in vm.target.held
         )
@@ -328,7 +329,7 @@
 
 
 def holds_by_orders_with(holds):
-    """Return the table by which ``TargetState`` makes its books, with another class."""
+    """Return the classes of key holds by ``HoldOrders``, with one replaced."""
     return {**_target_state._HOLDS_BY_ORDERS, HoldOrders.CALLS: holds}
 
 
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -1,8 +1,8 @@
-"""Targets that are told their keys in answers to heartbeats, and a log that is slow.
+"""Simulates targets that are told their keys in replies to heartbeats, and a slow log.
 
-As ``held_by_calls``, whose leader, time and checks this uses. Besides, changes are
-committed late, leaders change while some are on their way, and messages to a daemon
-that stands still wait for it.
+The leader, clock and checks are those of ``held_by_calls``. In addition, changes are
+committed late, leaders change while some are uncommitted, and messages to a stalled
+daemon wait for it.
 """
 
 import attrs
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class _PendingHeartbeat:
-    """One heartbeat on its way."""
+    """One heartbeat that awaits its reply."""
 
     target: object
     sent_s: float
@@ -55,7 +55,7 @@
         self.released = []
 
     def deliver(self, delay_s, boot, action):
-        """Let the daemon of that boot do something, once it doesn't stand still."""
+        """Run ``action`` at the daemon of that boot, once it isn't stalled."""
 
         def arrive():
             if boot != self.boot:
@@ -98,7 +98,7 @@
         world.later(ANSWER_TIMEOUT_S, lambda: self.end(pending, HEARTBEAT_INTERVAL_S))
 
     def take(self, pending):
-        """Play the daemon's part of a heartbeat."""
+        """Simulate the daemon's handling of a heartbeat."""
         reply = self.state.take(pending.heartbeat, self.world.now)
         if not self.world.is_message_lost():
             self.world.later(
@@ -106,7 +106,7 @@
             )
 
     def handle_reply(self, pending, reply):
-        """Play the target's part of an answer; a late one is dropped."""
+        """Simulate the target's handling of a reply; a late one is dropped."""
         target, now = self.target, self.world.now
         if self.pending_beat is not pending:
             return
@@ -130,7 +130,7 @@
         self.end(pending, RELEASE_DELAY_S if self.released else HEARTBEAT_INTERVAL_S)
 
     def end(self, pending, pause_s):
-        """Let the next heartbeat follow."""
+        """Schedule the next heartbeat."""
         if self.pending_beat is pending:
             self.pending_beat = None
             self.next_beat_s = self.world.now + pause_s
@@ -144,7 +144,17 @@
 
 
 class SlowLogWorld(World):
-    """Three such machines; changes are committed late, and leaders lose some."""
+    """Three such VMs; changes are committed late, and some are lost with their leader.
+
+    Parameters
+    ----------
+    seed : int
+        Of the random generator.
+    faults : float
+        Fraction of messages that are lost, and of those that are delayed.
+    max_commit_s : float
+        Longest time to commit one change.
+    """
 
     def __init__(self, seed, faults=0.05, max_commit_s=1.5):
         super().__init__(seed, faults)
@@ -160,17 +170,17 @@
         self._last_commit_s = self.now
 
     def is_message_lost(self):
-        """Whether a message is lost."""
+        """Whether a message is lost, by chance."""
         return not self.is_calm and self.random.random() < self.faults
 
     def delay_s(self):
-        """Return how long a message takes."""
+        """Return the delay of a message in seconds."""
         if self.is_calm or self.random.random() > self.faults:
             return self.random.uniform(0.0, 0.03)
         return self.random.uniform(0.0, 1.5)
 
     def answer(self, vm, report, asked_s, boot):
-        """Play the leader's part of one report: first a quorum confirms it."""
+        """Simulate the leader's handling of a report, which a quorum confirms first."""
         leader = self.leader
         if leader is None:
             return
@@ -187,7 +197,7 @@
         self.later(self.delay_s(), confirmed)
 
     def propose(self, command):
-        """Take a change into the log."""
+        """Append a change to the log."""
         slow_s = 0.0 if self.is_calm else self.max_commit_s
         self._last_commit_s = max(self._last_commit_s, self.now) + self.random.uniform(
             0.0, slow_s
@@ -195,7 +205,7 @@
         self._log.append((self._last_commit_s, self.leader, command))
 
     def commit(self, until_s):
-        """Apply what is committed by then."""
+        """Apply the changes that are committed by then."""
         while self._log and self._log[0][0] <= until_s:
             _, leader, command = self._log.pop(0)
             self.index += 1
@@ -216,7 +226,7 @@
             self._remove_leader()
 
     def _remove_leader(self):
-        """The lead is gone; another one begins with a part of the open changes."""
+        """Remove the leader; the next one keeps some of the uncommitted changes."""
         self.leader = None
         kept = self.random.randint(0, len(self._log))
         del self._log[kept:]
@@ -229,7 +239,7 @@
         self.leader = Leadership(self.term, self.lease_s, self.now)
 
     def run_leader(self):
-        """Play a look of the leader."""
+        """Commit changes and run a tick of the leader."""
         self.commit(self.now)
         if self.leader is not None:
             for command in self.leader.tick(self.state, self.now):
--- a/tests/sidecar/test_called_holds.py
+++ b/tests/sidecar/test_called_holds.py
@@ -43,7 +43,7 @@
 
 
 def grant_and_confirm(holds, now=10.0, *ranges):
-    """Grant ranges, and let the target take them."""
+    """Grant ranges, and confirm the calls that tell the target."""
     holds.take_grant(grant(1, *(ranges or ((0, 99, 7),))), now)
     for order in holds.due(now):
         holds.ended(order, OrderEnd.DONE, now)
@@ -76,8 +76,8 @@
 
 
 def test_a_hanging_call_does_not_delay_calls_for_other_keys(holds):
-    # A target leaves one call unanswered. The others must be renewed meanwhile, or
-    # requests for their keys end with the hold.
+    # Guards against: a target leaves one call unanswered, the holds of other keys
+    # aren't renewed meanwhile and expire, and requests for those keys fail.
     holds.take_grant(grant(1, (0, 99, 7), (200, 299, 8)), 10.0)
     first, second = holds.due(10.0)
     holds.ended(second, OrderEnd.DONE, 10.0)
@@ -111,9 +111,9 @@
 
 
 def test_keys_count_as_held_until_an_unanswered_grant_has_expired(holds):
-    # A call to hold keys has no answer, and its keys are released right after. The
-    # target carries the call out a second later and holds them again, beside the
-    # next owner.
+    # Guards against: a call to hold keys isn't answered, and its keys are released
+    # right after. The target executes the call a second later and holds the keys again,
+    # at the same time as the next owner.
     grant_and_confirm(holds)
     holds.take_grant(grant(2, (0, 99, 7)), 11.0)
     (renewal,) = holds.due(11.0)
@@ -141,7 +141,7 @@
 
 
 def test_a_restarted_daemon_counts_all_keys_as_held_until_old_leases_expire():
-    # The process before told the target of keys that this one has never heard of.
+    # The earlier process told the target of keys that this one doesn't know.
     restarted = CalledHolds(LEASE, LIFE)
     restarted.heard(heartbeat(7), 20.0)
     assert restarted.held(20.0) == (Hold(0, 65535, 0),)
@@ -149,8 +149,9 @@
 
 
 def test_keys_granted_back_under_the_same_token_keep_their_handover(holds):
-    # A leader that moved keys away is lost after their release; the next one knows
-    # of no move. Without the token they would be slow, as after a crash.
+    # Guards against: a leader that moved keys is lost after their release, and the next
+    # one doesn't know of the move. Without the handover the keys would be slow, as
+    # after a crash.
     grant_and_confirm(holds)
     holds.take_grant(grant(2), 10.1)
     (order,) = holds.due(10.1)
