--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -306,7 +306,7 @@
         for (one, a), (other, b) in itertools.combinations(held, 2):
             if one is not other and overlaps(a, b):
                 raise TwoHoldersError(
-                    f"{self.now:.2f}: {one.name} {a}, {other.name} {b}"
+                    f"{self.now:.2f} s: {one.name} holds {a}, {other.name} holds {b}"
                 )
 
     def check_token(self, target, order):
@@ -317,7 +317,9 @@
         for life, first, last, fence in self._tokens_taken:
             keys = attrs.evolve(order, first=first, last=last)
             if life is not target and overlaps(keys, order) and fence >= order.fence:
-                raise TwoHoldersError(f"token {order.fence} after {fence}")
+                raise TwoHoldersError(
+                    f"fencing token {order.fence} was issued after token {fence}"
+                )
         self._tokens_taken.add(entry)
 
     def served(self):
