--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -153,12 +153,12 @@
         ):
             self._split_spans(self._grant.ranges)
 
-    def heard(self, beat, now):
+    def heard(self, heartbeat, now):
         """Record a heartbeat of this life; the reply says nothing about keys."""
         if self._earlier_holds_until_s is None:
             # The first heartbeat of a life: no earlier process can have told it to hold
             # keys.
-            is_new = beat.sequence <= 1
+            is_new = heartbeat.sequence <= 1
             self._earlier_holds_until_s = now if is_new else now + self._lease.lease_s
         return HeartbeatReply()
 
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -117,8 +117,8 @@
 
     async def _call(self, order):
         """Make one call; return its ``OrderEnd``, the handover and a detail."""
-        beat = self._state.heartbeat
-        name = beat.name if beat else ""
+        heartbeat = self._state.heartbeat
+        name = heartbeat.name if heartbeat else ""
         call = self._dialect.order_call(order, name)
         is_release = isinstance(order, ReleaseOrder)
         request = call.method, call.target, call.headers, call.body
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -87,7 +87,7 @@
         return tuple(each for _, each in self._releases)
 
     @abc.abstractmethod
-    def heard(self, beat, now):
+    def heard(self, heartbeat, now):
         """Record a heartbeat of this life; return the ``HeartbeatReply``."""
 
     @abc.abstractmethod
@@ -125,12 +125,12 @@
         self._heartbeat = None
         self._heartbeat_received_s = float("-inf")
 
-    def heard(self, beat, now):
+    def heard(self, heartbeat, now):
         """Record a heartbeat of this life; return the ``HeartbeatReply``."""
         self._settled = self._sent_grant
-        self._heartbeat = beat
+        self._heartbeat = heartbeat
         self._heartbeat_received_s = now
-        self._record_releases(beat.releases, now)
+        self._record_releases(heartbeat.releases, now)
         hold_s = self._max_hold_s(now)
         if self._grant is None or hold_s < MIN_HOLD_S:
             return HeartbeatReply()
