--- a/tamarackhaven/sidecar/_budget.py
+++ b/tamarackhaven/sidecar/_budget.py
@@ -1,14 +1,14 @@
-"""Second sends to targets of one service, within a budget that daemons share. Pure."""
+"""Limits retries at targets of one service, within a budget shared by daemons. Pure."""
 
 import collections
 
-# The daemons don't ask each other: each takes its own part. What a repeated run calls
-# counts as repeated there, too, so some room is left for that.
-OWN_PART = 0.6
+# The daemons don't coordinate: each uses its own share. Calls made by a retried run
+# count as retries at their services, too, so some of the budget is left for them.
+DIRECT_RETRY_FRACTION = 0.6
 
 
 class RepeatBudget:
-    """Counts requests and repeats of one service in a sliding window.
+    """Counts requests and retries of one service in a sliding window.
 
     Parameters
     ----------
@@ -19,23 +19,31 @@
     def __init__(self, settings):
         self._settings = settings
         self._requests = collections.deque()
-        self._repeats = collections.deque()
+        self._retries = collections.deque()
 
     def request(self, now):
         """Count a caller's request."""
         self._requests.append(now)
 
     def take(self, daemon_count, now):
-        """Take one repeat if there is room for it; tell whether there was."""
+        """Count a retry if the budget allows one; return whether it did.
+
+        Parameters
+        ----------
+        daemon_count : int
+            Daemons that share the slack.
+        now : float
+            Seconds of the boot clock.
+        """
         window_s = self._settings.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and now - times[0] > window_s:
                 times.popleft()
-        allowed = OWN_PART * (
+        allowed = DIRECT_RETRY_FRACTION * (
             self._settings.ratio * len(self._requests)
             + self._settings.slack / daemon_count
         )
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
--- a/tamarackhaven/sidecar/_choice.py
+++ b/tamarackhaven/sidecar/_choice.py
@@ -1,9 +1,9 @@
-"""Which target of a shared service gets a request. Pure.
+"""Chooses the target of a shared service that gets a request. Pure.
 
-Load: targets differ in speed and slow down for moments; what is known of them is a
-little old. Harm: a slow target collects waiting requests while others idle. Each
-target is judged by the time that a request would take there, from what its daemon
-said last and from what was sent since.
+Targets differ in speed and slow down for moments, and what a daemon knows of their
+load is slightly out of date. Otherwise a slow target would collect queued requests
+while others are idle. So each target is judged by the time that a request would take
+there, from the load that its daemon reported last and the requests sent since.
 """
 
 import attrs
@@ -11,40 +11,64 @@
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.sidecar._messages import Answered, NotRun
 
-# What a daemon said of its load fades: with 100 ms of work a second is ten turns.
-LOAD_LIFE_S = 2.0
+# A load report is out of date after this long: with 100 ms of work, a slot runs ten
+# requests in a second.
+LOAD_TTL_S = 2.0
 # Before any answer, all targets count as equal.
-UNKNOWN_WORK_MS = 100.0
-# A target that is slow isn't chosen, and so nothing new is heard of it. What was heard
-# loses half of its difference to the others in this time, so that it is tried again.
+DEFAULT_WORK_MS = 100.0
+# A target that looks slow isn't chosen, and so no new report of it arrives. A report
+# loses half of its difference to the mean of the targets in this time, so that the
+# target is tried again.
 WORK_HALF_LIFE_S = 4.0
-# Crossing zones takes about a millisecond, and its bytes are paid for: a usual answer
-# costs as much as some hundredths of what it is worth. A target in another zone has to
-# be better by that.
-OTHER_ZONE_MS = 5.0
-OTHER_ZONE_PART = 0.15
+# Crossing zones takes about a millisecond, and the bytes are paid for: a usual answer
+# costs some hundredths of what it is worth. A target in another zone has to be better
+# by this much.
+CROSS_ZONE_COST_MS = 5.0
+CROSS_ZONE_COST_FRACTION = 0.15
 # A large body pays for each of its bytes: one of 60 kB as much as a tenth of a second.
-OTHER_ZONE_MS_PER_KB = 1.5
-# A target that couldn't be reached is left alone for so long, then for twice as long.
-FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 4.0
-# Weight of the newest end in a target's share of failures: some ten ends.
-FAILURE_SMOOTHING = 0.1
-# A request that fails costs its caller a second one: a target that fails each second
+CROSS_ZONE_COST_MS_PER_KB = 1.5
+# A target that couldn't be reached gets no requests for this long, then for twice as
+# long each time.
+MIN_PAUSE_S = 0.5
+MAX_PAUSE_S = 4.0
+# Weight of the newest result in a target's failure fraction, which covers about ten
+# results.
+FAILURE_SMOOTHING_FACTOR = 0.1
+# A failed request costs its caller a second one: a target that fails every second
 # request counts as five times as slow.
-FAILURE_WEIGHT = 8.0
+FAILURE_COST_FACTOR = 8.0
 
 
 @attrs.define
-class _Seen:
-    """What one daemon knows of one target."""
+class _TargetStats:
+    """What this daemon knows of one target.
+
+    Parameters
+    ----------
+    load : GateLoad or None
+        Newest load report.
+    load_received_s : float
+        When it was received.
+    work_by_route : dict
+        Mean processing time in milliseconds and when it was received, by route.
+    in_flight : int
+        Requests in flight from this daemon.
+    sent_since_load : int
+        Requests sent since the newest load report.
+    failure_fraction : float
+        Moving average, from 0 to 1.
+    paused_until_s : float
+        Until when the target should get no requests.
+    pause_s : float
+        Length of the last pause after the target couldn't be reached.
+    """
 
     load: object = None
-    load_s: float = float("-inf")
+    load_received_s: float = float("-inf")
     work_by_route: dict = attrs.field(factory=dict)
-    open: int = 0
-    sent_since: int = 0
-    failures: float = 0.0
+    in_flight: int = 0
+    sent_since_load: int = 0
+    failure_fraction: float = 0.0
     paused_until_s: float = float("-inf")
     pause_s: float = 0.0
 
@@ -57,33 +81,33 @@
     zone : str
         Of the daemon.
     random : callable
-        Gives numbers from 0 to 1.
+        Returns numbers from 0 to 1.
     is_here : callable
-        ``is_here(life)`` whether a target is on this VM.
+        ``is_here(life)`` tells whether a target is on this VM.
     """
 
     def __init__(self, zone, random, is_here=lambda life: False):
         self._zone = zone
         self._random = random
         self._is_here = is_here
-        self._seen_by_life = {}
+        self._stats_by_life = {}
 
-    def _seen(self, life):
-        seen = self._seen_by_life.get(life)
-        if seen is None:
-            seen = self._seen_by_life[life] = _Seen()
-        return seen
+    def _stats(self, life):
+        stats = self._stats_by_life.get(life)
+        if stats is None:
+            stats = self._stats_by_life[life] = _TargetStats()
+        return stats
 
     def pick(self, targets, route, now, avoid=(), body_bytes=0):
-        """Return a target, or None if all are to be avoided.
+        """Return a target, or None if all are in ``avoid``.
 
         Parameters
         ----------
         targets : sequence of Target
-            Those that take new requests.
+            Those that accept new requests.
         route : str
-            Of the request: a target's means differ by route, and two targets are
-            compared by the same one.
+            Of the request. Processing times differ by route, and two targets are
+            compared by those of the same route.
         now : float
             Seconds of the boot clock.
         avoid : collection of str
@@ -91,90 +115,96 @@
         body_bytes : int
             Size of the request's body.
         """
-        free = [target for target in targets if target.life not in avoid]
-        if not free:
+        untried = [target for target in targets if target.life not in avoid]
+        if not untried:
             return None
-        rested = [
-            target for target in free if self._seen(target.life).paused_until_s <= now
+        unpaused = [
+            target
+            for target in untried
+            if self._stats(target.life).paused_until_s <= now
         ]
-        if not rested:
-            return min(free, key=lambda each: self._seen(each.life).paused_until_s)
-        usual_ms = self._usual_ms(rested, route, now)
+        if not unpaused:
+            return min(untried, key=lambda each: self._stats(each.life).paused_until_s)
+        mean_ms = self._mean_work_ms(unpaused, route, now)
         return min(
-            rested,
+            unpaused,
             key=lambda target: (
-                self._cost_ms(target, route, usual_ms, now)
-                + self.crossing_ms(target, body_bytes)
-                + self._link_ms(target, body_bytes, now)
+                self._cost_ms(target, route, mean_ms, now)
+                + self.cross_zone_cost_ms(target, body_bytes)
+                + self._transfer_ms(target, body_bytes, now)
             ),
         )
 
-    def _link_ms(self, target, body_bytes, now):
-        """Return about how long a body takes over the link of a target's VM.
+    def _transfer_ms(self, target, body_bytes, now):
+        """Return the estimated milliseconds to transfer a body to a target's VM.
 
-        Load: bodies that take longer on their way than at the target. Harm: chosen by
-        its slots alone, a target with a full link looks as good as any. Limit: what
-        its daemon said last of its link, as long as that is fresh.
+        A body may take longer to transfer than to process. Chosen by its slots alone, a
+        target with a full link would look as good as any. The estimate uses the link's
+        throughput and backlog as its daemon reported them last, the backlog only while
+        the report is fresh.
         """
-        load = self._seen(target.life).load
+        load = self._stats(target.life).load
         if not body_bytes or load is None or not load.link_bytes_per_s:
             return 0.0
         if self._is_here(target.life):
             return 0.0
-        is_fresh = now - self._seen(target.life).load_s < LOAD_LIFE_S
+        is_fresh = now - self._stats(target.life).load_received_s < LOAD_TTL_S
         ahead_bytes = load.arriving_bytes if is_fresh else 0
         return 1000 * (ahead_bytes + body_bytes) / load.link_bytes_per_s
 
-    def crossing_ms(self, target, body_bytes):
-        """Return how much later a target may answer that spares a body the crossing."""
+    def cross_zone_cost_ms(self, target, body_bytes):
+        """Return how many milliseconds it is worth not to send a body across zones."""
         if target.zone == self._zone:
             return 0.0
-        return OTHER_ZONE_MS_PER_KB * body_bytes / 1000
+        return CROSS_ZONE_COST_MS_PER_KB * body_bytes / 1000
 
-    def _usual_ms(self, targets, route, now):
-        """Return the mean working time of a route; what is older counts less."""
-        total = weight = 0.0
+    def _mean_work_ms(self, targets, route, now):
+        """Return a route's mean processing time in ms; older reports count less."""
+        total = total_weight = 0.0
         for target in targets:
-            known = self._seen(target.life).work_by_route.get(route)
+            known = self._stats(target.life).work_by_route.get(route)
             if known is not None:
-                work_ms, heard_s = known
-                kept = _kept(now - heard_s)
-                total += kept * work_ms
-                weight += kept
-        return total / weight if weight else UNKNOWN_WORK_MS
-
-    def _cost_ms(self, target, route, usual_ms, now):
-        """Return about how long a request would take at ``target``."""
-        seen = self._seen(target.life)
-        work_ms, heard_s = seen.work_by_route.get(route, (usual_ms, now))
-        work_ms = usual_ms + _kept(now - heard_s) * (work_ms - usual_ms)
+                work_ms, received_s = known
+                weight = _age_weight(now - received_s)
+                total += weight * work_ms
+                total_weight += weight
+        return total / total_weight if total_weight else DEFAULT_WORK_MS
+
+    def _cost_ms(self, target, route, mean_ms, now):
+        """Return the estimated cost of a request at ``target``, in milliseconds."""
+        stats = self._stats(target.life)
+        work_ms, received_s = stats.work_by_route.get(route, (mean_ms, now))
+        work_ms = mean_ms + _age_weight(now - received_s) * (work_ms - mean_ms)
         busy, slots = target.load * target.slots, target.slots
-        if seen.load is not None and now - seen.load_s < LOAD_LIFE_S:
+        if stats.load is not None and now - stats.load_received_s < LOAD_TTL_S:
             busy = max(
-                seen.load.running + seen.load.waiting + seen.sent_since, seen.open
+                stats.load.running + stats.load.waiting + stats.sent_since_load,
+                stats.in_flight,
             )
-        elif seen.load is not None:
-            busy = max(busy, seen.open)
-        if seen.load is not None:
-            slots = seen.load.slots
-        fill = (busy + 1) / max(slots, 1)
-        cost_ms = work_ms * max(1.0, fill) + work_ms * 0.25 * min(fill, 1.0)
-        cost_ms *= 1 + FAILURE_WEIGHT * seen.failures
+        elif stats.load is not None:
+            busy = max(busy, stats.in_flight)
+        if stats.load is not None:
+            slots = stats.load.slots
+        utilization = (busy + 1) / max(slots, 1)
+        cost_ms = work_ms * max(1.0, utilization) + work_ms * 0.25 * min(
+            utilization, 1.0
+        )
+        cost_ms *= 1 + FAILURE_COST_FACTOR * stats.failure_fraction
         if target.zone != self._zone:
-            cost_ms += OTHER_ZONE_MS + OTHER_ZONE_PART * cost_ms
-        if seen.load is not None and seen.load.is_cold:
+            cost_ms += CROSS_ZONE_COST_MS + CROSS_ZONE_COST_FRACTION * cost_ms
+        if stats.load is not None and stats.load.is_cold:
             cost_ms *= 2
-        # Many daemons with the same news would all choose the same target.
+        # Daemons with the same load reports would all choose the same target.
         return cost_ms * (1 + 0.2 * self._random())
 
     def sent(self, life):
-        """Count a request on its way to a target."""
-        seen = self._seen(life)
-        seen.open += 1
-        seen.sent_since += 1
+        """Count a request that was sent to a target."""
+        stats = self._stats(life)
+        stats.in_flight += 1
+        stats.sent_since_load += 1
 
     def ended(self, life, route, load, failed, now):
-        """Take in the end of a request.
+        """Record the end of a request.
 
         Parameters
         ----------
@@ -183,49 +213,51 @@
         route : str
             Of the request.
         load : GateLoad or None
-            What the target's daemon said with it.
+            Load that the target's daemon reported with the result.
         failed : bool or None
-            Whether the target ran it and failed; None if it didn't run.
+            Whether the target ran the request and failed; None if it didn't run.
         now : float
             Seconds of the boot clock.
         """
-        seen = self._seen(life)
-        seen.open = max(seen.open - 1, 0)
+        stats = self._stats(life)
+        stats.in_flight = max(stats.in_flight - 1, 0)
         if load is not None:
-            seen.load = load
-            seen.load_s = now
+            stats.load = load
+            stats.load_received_s = now
             if load.work_ms:
-                seen.work_by_route[route] = (load.work_ms, now)
-            seen.sent_since = 0
-            seen.pause_s = 0.0
-            seen.paused_until_s = float("-inf")
+                stats.work_by_route[route] = (load.work_ms, now)
+            stats.sent_since_load = 0
+            stats.pause_s = 0.0
+            stats.paused_until_s = float("-inf")
         if failed is not None:
-            seen.failures += FAILURE_SMOOTHING * (float(failed) - seen.failures)
+            stats.failure_fraction += FAILURE_SMOOTHING_FACTOR * (
+                float(failed) - stats.failure_fraction
+            )
 
     def unreachable(self, life, now):
-        """Leave a target alone for a while."""
-        seen = self._seen(life)
-        seen.pause_s = min(max(2 * seen.pause_s, FIRST_PAUSE_S), LONGEST_PAUSE_S)
-        seen.paused_until_s = now + seen.pause_s
+        """Pause a target that couldn't be reached."""
+        stats = self._stats(life)
+        stats.pause_s = min(max(2 * stats.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
+        stats.paused_until_s = now + stats.pause_s
 
     def pause(self, life, seconds, now):
-        """Send a target nothing for ``seconds``, unless all are paused."""
-        seen = self._seen(life)
-        seen.paused_until_s = max(seen.paused_until_s, now + seconds)
+        """Send a target nothing for ``seconds``, unless all targets are paused."""
+        stats = self._stats(life)
+        stats.paused_until_s = max(stats.paused_until_s, now + seconds)
 
     def forget(self, lives):
-        """Forget the targets that are not among ``lives``."""
-        for life in list(self._seen_by_life):
-            if life not in lives and not self._seen_by_life[life].open:
-                del self._seen_by_life[life]
+        """Remove targets that aren't in ``lives`` and have no request in flight."""
+        for life in list(self._stats_by_life):
+            if life not in lives and not self._stats_by_life[life].in_flight:
+                del self._stats_by_life[life]
 
 
 def has_failed(end):
-    """Tell whether the end of a request speaks against its target; None for neither.
+    """Tell whether a result counts as a failure of its target; None if neither.
 
-    Load: a target that turns away part of what it gets, though it has room. Harm: it
-    looks idle, so that more and more goes there. Limit: it counts as failing by that
-    part, as if it had run and failed.
+    A target that refuses part of its requests although it has room looks idle, and
+    would get ever more of them. So a refusal by the target counts as a failure, as if
+    it had run the request and failed.
     """
     if isinstance(end, Answered):
         return end.status >= 500
@@ -234,6 +266,6 @@
     return True
 
 
-def _kept(age_s):
-    """Return the part of something heard that still counts at this age."""
+def _age_weight(age_s):
+    """Return the weight of a report of this age in seconds, from 1 down to 0."""
     return 0.5 ** (age_s / WORK_HALF_LIFE_S)
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -1,7 +1,7 @@
-"""Daemons that tell their targets keys by calls, a leader, and all that goes wrong.
+"""Simulates daemons that tell their targets keys by calls, and a leader, with faults.
 
-The leader, its state, the daemons' and the targets' books are the real code; the
-network, the clock and the targets are played. ``World.check`` looks at who holds what
+The leader, its state, and the key holds of the daemons are the real code; the network,
+the clock and the targets are simulated. ``World.check`` looks for keys with two holders
 after every step.
 """
 
@@ -29,8 +29,8 @@
 
 SERVICE = "owned"
 STEP_S = 0.04
-REPORT_S = 0.4
-HEARTBEAT_S = 0.9
+REPORT_INTERVAL_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.9
 SLOWEST_CLOCK = 0.98
 ADDRESS = "10.0.0.1:80"
 SETTINGS = DaemonSettings(
@@ -46,12 +46,12 @@
 
 
 class TwoHoldersError(AssertionError):
-    """Two lives held one key, or a token was not above all others."""
+    """Two lives held one key, or a fencing token wasn't above all earlier ones."""
 
 
 @attrs.define
-class Held:
-    """Keys that a played target holds."""
+class HeldRange:
+    """Keys that a simulated target holds."""
 
     first: int
     last: int
@@ -59,8 +59,8 @@
     until_s: float
 
 
-class PlayedTarget:
-    """One life of a target; its clock is as slow as it may be."""
+class SimulatedTarget:
+    """One life of a target, with the slowest clock that is allowed."""
 
     def __init__(self, world, name, born_ms):
         self.world = world
@@ -71,26 +71,26 @@
         self.seen = []
 
     def grant(self, order, arrived_s, now):
-        """Carry out a grant; tell whether it was taken."""
+        """Execute a grant; return whether it was accepted."""
         until_s = arrived_s + order.hold_s / SLOWEST_CLOCK
         if until_s <= now:
-            # Carried out so late that its time is over.
+            # Executed so late that the hold has expired.
             return True
         if any(
             overlaps(each, order) and each.fence > order.fence for each in self.seen
         ):
             return False
         self.seen.append(order)
-        self.world.took(self, order)
-        self._cut(order, order.fence)
-        self.held.append(Held(order.first, order.last, order.fence, until_s))
+        self.world.check_token(self, order)
+        self._remove_keys(order, order.fence)
+        self.held.append(HeldRange(order.first, order.last, order.fence, until_s))
         return True
 
     def release(self, order):
-        """Carry out a release."""
-        self._cut(order, order.fence)
+        """Execute a release."""
+        self._remove_keys(order, order.fence)
 
-    def _cut(self, keys, fence):
+    def _remove_keys(self, keys, fence):
         kept = []
         for each in self.held:
             if not overlaps(each, keys) or each.fence > fence:
@@ -103,7 +103,7 @@
         self.held = kept
 
 
-class Machine:
+class VM:
     """A VM with a target and its daemon."""
 
     def __init__(self, world, number):
@@ -115,25 +115,25 @@
         self.restart_daemon()
 
     def restart_daemon(self):
-        """Begin with a process that knows nothing."""
+        """Replace the daemon by a new process that has no state."""
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
         self.state.tell_keys_by(HoldOrders.CALLS)
         self.next_report_s = self.next_beat_s = self.world.now
 
     def restart_target(self):
-        """Begin with a target that holds nothing."""
-        born_ms = next(self.world.births)
-        self.target = PlayedTarget(self.world, f"i-{self.host}", born_ms)
+        """Replace the target by a new life that holds no keys."""
+        born_ms = next(self.world.birth_times_ms)
+        self.target = SimulatedTarget(self.world, f"i-{self.host}", born_ms)
         self.next_beat_s = self.world.now
 
     def step(self):
         world = self.world
         if world.now >= self.next_beat_s:
-            self.next_beat_s = world.now + HEARTBEAT_S
+            self.next_beat_s = world.now + HEARTBEAT_INTERVAL_S
             self.beat()
         if world.now >= self.next_report_s:
-            self.next_report_s = world.now + REPORT_S
+            self.next_report_s = world.now + REPORT_INTERVAL_S
             self.report()
         keys = self.state.keys
         if keys is not None:
@@ -154,7 +154,7 @@
         self.state.take(beat, self.world.now)
 
     def make_report(self):
-        """Return a report with keys that are busy now and then."""
+        """Return a report in which random keys are busy at random rates."""
         state, world = self.state, self.world
         busy = world.random.randrange(0, 4096)
         rate = 0.0 if world.is_calm else world.random.choice((0.0, 60.0, 120.0))
@@ -176,14 +176,14 @@
         world.later(delay_s, lambda: self.world.answer(self, report, asked_s, boot))
 
     def send(self, keys, order):
-        """Make a call; one in four goes wrong in some way."""
+        """Make a call; a fraction of them, ``World.faults``, fails in some way."""
         world, target, boot = self.world, self.target, self.boot
         is_release = isinstance(order, ReleaseOrder)
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
-        arrives_s = world.random.uniform(0.0, 0.02)
-        fate = 1.0 if world.is_calm else world.random.random()
+        arrival_delay_s = world.random.uniform(0.0, 0.02)
+        outcome = 1.0 if world.is_calm else world.random.random()
 
-        def carry_out(arrived_s):
+        def execute(arrived_s):
             if target is not self.target:
                 return OrderEnd.UNANSWERED
             if is_release:
@@ -192,50 +192,51 @@
                 return OrderEnd.SUPERSEDED
             return OrderEnd.DONE
 
-        def end(how):
+        def end(result):
             if boot == self.boot and self.state.keys is keys:
-                keys.ended(order, how, world.now, "token")
-
-        if fate < world.faults * 0.5:
-            # It arrives just before the timeout, or is carried out later.
-            arrives_s = world.random.uniform(0.0, CALL_TIMEOUT_S)
-            arrived_s = world.now + arrives_s
-            late_s = world.random.choice((0.0, world.random.uniform(2.0, 12.0)))
-            world.later(arrives_s + late_s, lambda: carry_out(arrived_s))
+                keys.ended(order, result, world.now, "token")
+
+        if outcome < world.faults * 0.5:
+            # The call arrives before the timeout but is unanswered; it may be executed
+            # seconds later.
+            arrival_delay_s = world.random.uniform(0.0, CALL_TIMEOUT_S)
+            arrived_s = world.now + arrival_delay_s
+            extra_delay_s = world.random.choice((0.0, world.random.uniform(2.0, 12.0)))
+            world.later(arrival_delay_s + extra_delay_s, lambda: execute(arrived_s))
             world.later(timeout_s, lambda: end(OrderEnd.UNANSWERED))
-        elif fate < world.faults:
+        elif outcome < world.faults:
             world.later(timeout_s, lambda: end(OrderEnd.UNANSWERED))
         else:
             answer_s = world.random.uniform(0.0, 0.3) if is_release else 0.01
 
             def arrive():
-                how = carry_out(world.now)
-                world.later(answer_s, lambda: end(how))
+                result = execute(world.now)
+                world.later(answer_s, lambda: end(result))
 
-            world.later(arrives_s, arrive)
+            world.later(arrival_delay_s, arrive)
 
 
 class World:
-    """All machines, one leader, and the time.
+    """Simulated VMs, one leader and the clock.
 
     Parameters
     ----------
     seed : int
-        Of everything that is drawn.
+        Of the random generator.
     faults : float
-        Part of the calls that go wrong.
+        Fraction of calls that fail.
     """
 
-    # Once true, nothing goes wrong and no key is busy.
+    # If true, no faults are injected and no key is busy.
     is_calm = False
 
     def __init__(self, seed, faults=0.25):
         self.random = random.Random(seed)
         self.faults = faults
         self.now = 100.0
-        self.births = itertools.count(1)
-        self._due = []
-        self._taken = set()
+        self.birth_times_ms = itertools.count(1)
+        self._scheduled = []
+        self._tokens_taken = set()
         self.state = FleetState()
         service = ServiceSpec(SERVICE, sharded=True, hold_orders=HoldOrders.CALLS)
         first = ReplaceConfiguration(0, Configuration(1, (service,)), "first")
@@ -243,95 +244,95 @@
         self.index = 1
         self.lease_s = SETTINGS.lease.lease_s
         self.leader = Leadership(1, self.lease_s, self.now)
-        self.machines = [Machine(self, number) for number in range(1, 4)]
+        self.vms = [VM(self, number) for number in range(1, 4)]
 
     def later(self, delay_s, action):
-        """Do something in ``delay_s`` seconds."""
-        self._due.append((self.now + delay_s, action))
+        """Run ``action`` in ``delay_s`` seconds."""
+        self._scheduled.append((self.now + delay_s, action))
 
-    def answer(self, machine, report, asked_s, boot):
-        """Play the leader's part of one report."""
+    def answer(self, vm, report, asked_s, boot):
+        """Simulate the leader's handling of one report."""
         leader = self.leader
         leader.report(report, self.now)
         grant = leader.grant(report, self.state, self.now)
 
         def arrive():
-            if machine.boot == boot:
-                machine.state.take_grant(grant, asked_s)
+            if vm.boot == boot:
+                vm.state.take_grant(grant, asked_s)
 
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
     def run(self, seconds):
-        """Let time pass; draw restarts, lost leaders and silent daemons."""
+        """Advance the clock; inject restarts, leader changes and report delays."""
         until_s = self.now + seconds
         while self.now < until_s:
             self.now += STEP_S
-            due = [each for each in self._due if each[0] <= self.now]
-            self._due = [each for each in self._due if each[0] > self.now]
+            due = [each for each in self._scheduled if each[0] <= self.now]
+            self._scheduled = [each for each in self._scheduled if each[0] > self.now]
             for _, action in sorted(due, key=lambda each: each[0]):
                 action()
             if not self.is_calm:
-                self._draw()
-            for machine in self.machines:
-                machine.step()
-            self.decide()
+                self._inject_fault()
+            for vm in self.vms:
+                vm.step()
+            self.run_leader()
             self.check()
 
-    def decide(self):
-        """Play a look of the leader; what it decides is committed at once."""
+    def run_leader(self):
+        """Run a tick of the leader; its commands are committed at once."""
         for command in self.leader.tick(self.state, self.now):
             self.index += 1
             self.state.apply(self.index, command)
 
-    def _draw(self):
-        machine = self.random.choice(self.machines)
-        drawn = self.random.random()
-        if drawn < 0.001:
-            machine.restart_daemon()
-        elif drawn < 0.0015:
-            machine.restart_target()
-        elif drawn < 0.0025:
-            machine.next_report_s = self.now + self.random.uniform(1.0, 6.0)
-        elif drawn < 0.003:
+    def _inject_fault(self):
+        vm = self.random.choice(self.vms)
+        draw = self.random.random()
+        if draw < 0.001:
+            vm.restart_daemon()
+        elif draw < 0.0015:
+            vm.restart_target()
+        elif draw < 0.0025:
+            vm.next_report_s = self.now + self.random.uniform(1.0, 6.0)
+        elif draw < 0.003:
             self.leader = Leadership(self.leader.term + 1, self.lease_s, self.now)
 
     def check(self):
-        """Fail if two lives hold one key, or a token doesn't rise."""
+        """Raise ``TwoHoldersError`` if two lives hold one key."""
         held = []
-        for machine in self.machines:
-            target = machine.target
+        for vm in self.vms:
+            target = vm.target
             target.held = [each for each in target.held if each.until_s > self.now]
             held += [(target, each) for each in target.held]
         for (one, a), (other, b) in itertools.combinations(held, 2):
             if one is not other and overlaps(a, b):
                 raise TwoHoldersError(
-                    f"{self.now:.2f}: {one.name} {a}, {other.name} {b}"
+                    f"{self.now:.2f} s: {one.name} holds {a}, {other.name} holds {b}"
                 )
 
-    def took(self, target, order):
-        """Fail if a life takes a token that isn't above all that others had."""
-        taken = (target, order.first, order.last, order.fence)
-        if taken in self._taken:
+    def check_token(self, target, order):
+        """Raise ``TwoHoldersError`` if a token isn't above all that other lives had."""
+        entry = (target, order.first, order.last, order.fence)
+        if entry in self._tokens_taken:
             return
-        for life, first, last, fence in self._taken:
+        for life, first, last, fence in self._tokens_taken:
             keys = attrs.evolve(order, first=first, last=last)
             if life is not target and overlaps(keys, order) and fence >= order.fence:
-                raise TwoHoldersError(f"token {order.fence} after {fence}")
-        self._taken.add(taken)
+                raise TwoHoldersError(
+                    f"fencing token {order.fence} was issued after token {fence}"
+                )
+        self._tokens_taken.add(entry)
 
     def served(self):
-        """Return the part of the keys that some target holds now."""
+        """Return the fraction of the keys that some target holds now."""
         count = sum(
-            each.last - each.first + 1
-            for machine in self.machines
-            for each in machine.target.held
+            each.last - each.first + 1 for vm in self.vms for each in vm.target.held
         )
         return count / 65536
 
 
-def with_holds(holds):
-    """Return the table by which ``TargetState`` makes its books, with another class."""
+def holds_by_orders_with(holds):
+    """Return the classes of key holds by ``HoldOrders``, with one replaced."""
     return {**_target_state._HOLDS_BY_ORDERS, HoldOrders.CALLS: holds}
 
 
-__all__ = ["CalledHolds", "TwoHoldersError", "World", "with_holds"]
+__all__ = ["CalledHolds", "TwoHoldersError", "World", "holds_by_orders_with"]
