--- a/tamarackhaven/_decisions.py
+++ b/tamarackhaven/_decisions.py
@@ -1,31 +1,31 @@
-"""The record of decisions that ``explain`` reads, bounded in size."""
+"""A bounded record of the decisions that ``explain`` returns."""
 
 import collections
 
 import attrs
 
-DECISIONS_KEPT = 2000
+MAX_DECISIONS = 2000
 
 
 @attrs.frozen
 class Decision:
-    """One decision, with what it was made from.
+    """One decision, with the state version and the cause that it is based on.
 
     Parameters
     ----------
     decision_id : str
-        ``v`` and the log index for what was committed, ``p`` and a number for what
-        the leader's placement decided not to do.
+        ``v`` and the log index for a committed change, ``p`` and a number for a move
+        that the leader's placement decided against.
     version : int
-        Version of the state that it was made from.
+        Version of the state on which it is based.
     at_unix_s : float
-        Wall-clock time at the leader, in seconds.
+        Wall-clock time at the leader, in Unix seconds.
     subject : str
-        What it is about: a service, a resource or a target.
+        Name of the service, resource or target that it concerns.
     cause, result : str
         Short sentences.
     shards : list of int
-        Shards that it is about, empty for none.
+        Shards that it concerns, empty for none.
     """
 
     decision_id: str
@@ -38,21 +38,22 @@
 
 
 class DecisionRecord:
-    """The newest decisions, at most ``kept`` of them.
+    """The newest decisions, at most ``max_decisions`` of them.
 
-    A bound is needed: an availability zone that comes and goes makes a decision for
-    each step, and an unbounded record would end in a control VM without memory.
+    The record is bounded because an availability zone that repeatedly goes out and
+    comes back causes a decision each time, and an unbounded record would exhaust the
+    control VM's memory.
     """
 
-    def __init__(self, kept=DECISIONS_KEPT):
-        self._decisions = collections.deque(maxlen=kept)
+    def __init__(self, max_decisions=MAX_DECISIONS):
+        self._decisions = collections.deque(maxlen=max_decisions)
 
     def add(self, decision):
         """Record one decision."""
         self._decisions.append(decision)
 
     def all(self):
-        """Return all kept decisions, oldest first."""
+        """Return all recorded decisions, oldest first."""
         return list(self._decisions)
 
     def find(self, subject="", shard=None, decision_id="", limit=50):
@@ -61,13 +62,13 @@
         Parameters
         ----------
         subject : str
-            Only decisions about it; empty for all.
+            Return only decisions about it; empty for all.
         shard : int or None
-            Only decisions about this shard.
+            Return only decisions about this shard; None for all.
         decision_id : str
-            Only the decision of this name.
+            Return only the decision with this id; empty for all.
         limit : int
-            Most decisions returned.
+            Maximum number of decisions returned.
         """
         found = []
         for decision in reversed(self._decisions):
--- a/tamarackhaven/_gate_messages.py
+++ b/tamarackhaven/_gate_messages.py
@@ -1,4 +1,4 @@
-"""What the gate of a target takes in and gives out; it does no input or output."""
+"""Input and output types of a target's gate."""
 
 import enum
 
@@ -9,18 +9,18 @@
 
 @attrs.frozen
 class Offer:
-    """A request at the gate.
+    """A request that asks for admission.
 
     Parameters
     ----------
     request_id : str
         Unique at this gate.
     key_hash : int
-        Hash of its key.
+        Hash of the request's key.
     caller : str
-        Who asks, for fair shares: the caller's address or its stated name.
+        Identity for fair shares: the caller's address or the name that it gave.
     deadline_s : float
-        Latest useful answer, in seconds of the gate's clock.
+        Time of the latest useful answer, in seconds of the gate's clock.
     """
 
     request_id: str
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Wait:
-    """The request waits; a later call admits or refuses it."""
+    """The request is queued; a later call admits or refuses it."""
 
     request_id: str
 
 
 @attrs.frozen
 class Refuse:
-    """Answer at once that the request did not run; ``retry_after_s`` in seconds."""
+    """Answer at once that the request did not run; retry after ``retry_after_s``."""
 
     request_id: str
     kind: ErrorKind
@@ -59,15 +59,15 @@
     """How an admitted request ended at the target."""
 
     ANSWERED = "answered"
-    SHED = "shed"  # the target's own word that it did not run
-    UNREACHABLE = "unreachable"  # no byte reached the target
-    FAILED = "failed"  # anything else
-    GIVEN_UP = "given-up"  # deadline past or caller gone
+    SHED = "shed"  # the target reported that it did not run the request
+    UNREACHABLE = "unreachable"  # no byte was sent to the target
+    FAILED = "failed"  # any other failure
+    GIVEN_UP = "given-up"  # the deadline passed or the caller hung up
 
 
 @attrs.frozen
 class Finish:
-    """An admitted request has ended; ``latency_s`` in seconds."""
+    """The end of an admitted request and its latency, in seconds."""
 
     request_id: str
     end: End
@@ -76,22 +76,22 @@
 
 @attrs.frozen
 class TargetReport:
-    """What a target last said of itself; it may lag or mislead.
+    """The last load report of a target, which may be old or wrong.
 
     Parameters
     ----------
     age_s : float
-        Time since the target made it, in seconds.
+        Age of the report, in seconds.
     running : int
-        Requests that it says are running.
+        Number of requests running, as the target reports it.
     slots : int
-        Requests that it says it can run at once.
+        Number of requests that the target reports it can run at once.
     uptime_s : float
-        Time since its start, in seconds.
+        Time since the target's start, in seconds.
     incarnation : str
-        Differs after each start.
+        Identifies one start of the target; differs after each start.
     served : int
-        Requests since its start; falls only with a restart.
+        Requests served since the start; decreases only after a restart.
     """
 
     age_s: float
--- a/tamarackhaven/_limit.py
+++ b/tamarackhaven/_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of a target, learned from latency, sheds and reports.
+"""The adaptive concurrency limit of a target, from latency, sheds and reports.
 
 Additive increase and multiplicative decrease, with the ratio of base latency to
 present latency as the factor of the decrease; after the gradient limits of Netflix's
@@ -8,81 +8,84 @@
 import enum
 import math
 
-# Answers in one window. A smaller one would judge by single slow requests; a larger
-# one leaves an overrun target overrun for longer. 16 is a little over one round of a
-# dozen slots.
+# A smaller window would react to single slow requests; a larger one leaves a target
+# overloaded for longer. 16 is a little over one round of a dozen slots.
 WINDOW_ANSWERS = 16
-# Long and short work mixed: the lower quartile stays that of the short work while a
-# quarter of the work is short. The mean or the 99th percentile would shrink the limit
-# for each burst of long work, and the short work would wait for nothing.
+# With long and short requests mixed, the lower quartile is the latency of the short
+# ones while they are at least a quarter. The mean or the 99th percentile would shrink
+# the limit for each burst of long requests, and short ones would wait without need.
 LOW_QUANTILE = 0.25
-# A target whose requests share a processor is slower when its slots are full; that
-# alone must not shrink the limit, or a healthy target never uses its slots.
-TOLERANCE = 2.0
-# Latency this many times the base is more than contention.
-JUMP = 4.0
-# Latency alone never takes more than half of the slots: long work looks like a slow
-# target from here, and halving twice would refuse work that the target can bear.
-LATENCY_FLOOR = 0.5
-# A smaller limit that leaves the latency above this part of what it was has not
-# helped: the target is slow by itself, and fewer at once only adds a queue before it.
-HELPED = 0.9
-# Windows from a smaller limit to the verdict: the answers of the first began before.
-VERDICT_WINDOWS = 2
-# Windows without a new trial after one that has not helped.
-HOLD_OFF_WINDOWS = 8
-# After one shed. Several sheds of one overrun count once for each round of requests.
+# Latency up to this many times the base doesn't shrink the limit. A target whose
+# requests share a processor is slower when its slots are full, and would otherwise
+# never use all of them while healthy.
+LATENCY_TOLERANCE_FACTOR = 2.0
+# Latency above this many times the base can't be explained by contention.
+LATENCY_JUMP_FACTOR = 4.0
+# Latency alone never shrinks the limit below half of the slots: the gate can't tell
+# long requests from a slow target, and halving twice would refuse work that the target
+# can handle.
+MIN_LATENCY_LIMIT_FRACTION = 0.5
+# A smaller limit that leaves the latency above this fraction of its earlier value has
+# no effect: the target is slow for another reason, and lower concurrency only lengthens
+# the queue at the gate.
+EFFECTIVE_LATENCY_FRACTION = 0.9
+# Windows from a smaller limit to its evaluation: requests answered in the first window
+# started before the limit changed.
+TRIAL_WINDOWS = 2
+# Windows without a new trial after one that had no effect.
+TRIAL_BACKOFF_WINDOWS = 8
+# Decrease after a shed. The sheds of one overload count once per round of requests.
 SHED_FACTOR = 0.7
-# How fast the base forgets, for each window: a target that is slower for good (a new
-# release) is the new base after about 50 windows.
-BASE_DRIFT = 1.02
-# A report older than this says nothing about now.
+# Growth of the base latency per window: a target that has become permanently slower (a
+# new release) sets the base after about 50 windows.
+BASE_GROWTH_FACTOR = 1.02
+# An older report doesn't describe the present state of the target.
 REPORT_LIFE_S = 5.0
 
 
 class Shift(enum.Enum):
-    """A step in the latency from one window to the next."""
+    """A sudden change of the latency from one window to the next."""
 
     SLOWER = "slower"
     FASTER = "faster"
 
 
-class _Verdict(enum.Enum):
+class _TrialStep(enum.Enum):
     """What to do after a slow window."""
 
-    TRY = "try"
+    SHRINK = "shrink"
     WAIT = "wait"
-    TAKE_BACK = "take back"
+    RESTORE = "restore"
 
 
 class _Trial:
-    """A smaller limit on trial: whether the latency fell with it."""
+    """Tests whether a smaller limit lowers the latency."""
 
     def __init__(self):
-        self._before_s = 0.0  # 0 while nothing is on trial
+        self._baseline_s = 0.0  # 0 while no trial runs
         self._windows_left = 0
 
     def window(self, low_s):
-        """Take in a slow window's latency, in seconds; return a _Verdict."""
+        """Record the low-quantile latency of a slow window; return a _TrialStep."""
         self._windows_left -= 1
         if self._windows_left > 0:
-            return _Verdict.WAIT
-        if self._before_s and low_s > HELPED * self._before_s:
-            self._before_s = 0.0
-            self._windows_left = HOLD_OFF_WINDOWS
-            return _Verdict.TAKE_BACK
-        self._before_s = low_s
-        self._windows_left = VERDICT_WINDOWS
-        return _Verdict.TRY
+            return _TrialStep.WAIT
+        if self._baseline_s and low_s > EFFECTIVE_LATENCY_FRACTION * self._baseline_s:
+            self._baseline_s = 0.0
+            self._windows_left = TRIAL_BACKOFF_WINDOWS
+            return _TrialStep.RESTORE
+        self._baseline_s = low_s
+        self._windows_left = TRIAL_WINDOWS
+        return _TrialStep.SHRINK
 
 
 class LearnedLimit:
-    """How many requests a warm target may run at once.
+    """The number of requests that a warm target may run at once.
 
-    Load: sustained demand near or over what the target bears. Harm prevented: work
-    queues inside the target, where nobody can refuse it or share it fairly. The bound
-    above is the declared number of slots; below it is 1, so that a target that sheds
-    everything is still asked and its recovery seen.
+    When demand stays near or above the target's capacity, requests would otherwise
+    queue inside the target, where they can be neither refused nor shared out fairly.
+    The upper bound is the declared number of slots. The lower bound is 1, so that a
+    target that sheds everything still gets requests and its recovery is noticed.
 
     Parameters
     ----------
@@ -95,10 +98,10 @@
         self.base_s = 0.0  # 0 until the first window
         self._limit = float(slots)
         self._samples = []
-        self._was_full = False
-        self._proven = 0
+        self._is_window_full = False
+        self._proven_concurrency = 0
         self._trial = _Trial()
-        self._sheds_left = 0
+        self._shed_backoff_answers = 0
         self._reported = slots
         self._reported_at = -math.inf
 
@@ -107,32 +110,34 @@
         return max(1, int(min(self._limit, self._bound(now))))
 
     def _bound(self, now):
-        """Return the bound from the last report, weighed by its age.
+        """Return the bound from the last report, weighted by its age.
 
-        A report of fewer slots than the gate has just seen answered well misleads:
-        sheds would show the lack. So the report never counts below ``_proven``.
+        A report of fewer slots than the concurrency that the target has just handled
+        well is misleading, as sheds would show a lack of slots. So the bound is never
+        below ``_proven_concurrency``.
         """
         weight = max(0.0, 1.0 - (now - self._reported_at) / REPORT_LIFE_S)
         reported = weight * self._reported + (1.0 - weight) * self.slots
-        return min(self.slots, max(reported, self._proven, 1))
+        return min(self.slots, max(reported, self._proven_concurrency, 1))
 
     def report(self, slots, made_at):
-        """Take in the slots that a report of time ``made_at`` (s) names.
+        """Apply the slots of a report made at ``made_at``, in seconds.
 
-        One that a later report has overtaken is let go.
+        A report that is older than the last one applied is ignored.
         """
         if slots > 0 and made_at >= self._reported_at:
             self._reported = min(slots, self.slots)
             self._reported_at = made_at
 
     def answered(self, latency_s, running, now):
-        """Take in one answer; return a Shift if the latency took a step, or None.
+        """Record one answer; return a ``Shift`` if the latency jumped, else None.
 
-        ``running`` counts the requests at the target, this one included.
+        ``latency_s`` and ``now`` are in seconds; ``running`` counts the requests at the
+        target, including this one.
         """
         self._samples.append(latency_s)
-        self._was_full = self._was_full or running >= self.value(now)
-        self._sheds_left = max(0, self._sheds_left - 1)
+        self._is_window_full = self._is_window_full or running >= self.value(now)
+        self._shed_backoff_answers = max(0, self._shed_backoff_answers - 1)
         if len(self._samples) < WINDOW_ANSWERS:
             return None
         return self._close_window(running)
@@ -140,54 +145,54 @@
     def _close_window(self, running):
         low_s = sorted(self._samples)[int(LOW_QUANTILE * len(self._samples))]
         self._samples = []
-        full, self._was_full = self._was_full, False
+        full, self._is_window_full = self._is_window_full, False
         base_s = self.base_s or low_s
-        self.base_s = min(low_s, base_s * BASE_DRIFT)
-        if low_s > JUMP * base_s:
-            # Taken as the new base at once: work that turned long for good jumps once
-            # and isn't held cold for ever.
+        self.base_s = min(low_s, base_s * BASE_GROWTH_FACTOR)
+        if low_s > LATENCY_JUMP_FACTOR * base_s:
+            # The new base applies at once: requests that become permanently longer
+            # cause one jump and don't keep the target cold.
             self.base_s = low_s
             self._trial = _Trial()
             return Shift.SLOWER
-        if low_s > TOLERANCE * base_s:
-            self._slow_window(low_s, TOLERANCE * base_s / low_s)
+        if low_s > LATENCY_TOLERANCE_FACTOR * base_s:
+            self._slow_window(low_s, LATENCY_TOLERANCE_FACTOR * base_s / low_s)
             return None
         self._trial = _Trial()
         if full:
-            self._proven = max(self._proven, running)
+            self._proven_concurrency = max(self._proven_concurrency, running)
             self._limit = min(self.slots, self._limit + 1.0)
-        return Shift.FASTER if low_s * TOLERANCE < base_s else None
+        return Shift.FASTER if low_s * LATENCY_TOLERANCE_FACTOR < base_s else None
 
     def _slow_window(self, low_s, factor):
-        """Try a smaller limit, and take it back if the target is no quicker.
+        """Try a smaller limit, and restore it if the latency doesn't fall.
 
-        Load: a target 2 to 4 times slower than usual, for whatever reason. Harm
-        prevented, both ways: overrun, it slows for all; slow by itself, it serves
-        half of what it could. Only the trial tells which.
+        A target that is 2 to 4 times slower than usual may be overloaded, and gets
+        slower for all callers at the old limit. If it is slow for another reason, a
+        smaller limit would halve its throughput. Only a trial distinguishes the two.
         """
-        verdict = self._trial.window(low_s)
-        if verdict is _Verdict.TRY:
+        step = self._trial.window(low_s)
+        if step is _TrialStep.SHRINK:
             self._shrink(factor)
-        elif verdict is _Verdict.TAKE_BACK:
+        elif step is _TrialStep.RESTORE:
             self._limit = float(self.slots)
 
     def _shrink(self, factor):
-        floor = max(1.0, LATENCY_FLOOR * self.slots)
+        floor = max(1.0, MIN_LATENCY_LIMIT_FRACTION * self.slots)
         self._limit = max(min(self._limit, floor), self._limit * factor)
-        self._proven = 0
+        self._proven_concurrency = 0
 
     def shed(self, running):
-        """Take in the target's own word that ``running`` requests were too many."""
-        self._proven = 0
-        if self._sheds_left:
+        """Shrink the limit: the target shed a request while it ran ``running``."""
+        self._proven_concurrency = 0
+        if self._shed_backoff_answers:
             return
         self._limit = max(1.0, min(self._limit, running) * SHED_FACTOR)
-        self._sheds_left = math.ceil(self._limit)
+        self._shed_backoff_answers = math.ceil(self._limit)
 
     def restart(self):
-        """Forget what was learned: the target has started again."""
+        """Reset the limit after the target has restarted."""
         self._limit = float(self.slots)
         self._samples = []
-        self._proven = 0
+        self._proven_concurrency = 0
         self._trial = _Trial()
-        self._sheds_left = 0
+        self._shed_backoff_answers = 0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger of bookings against a naive oracle, over chains of owners."""
+"""Tests of the ledger of bookings, also against a naive oracle over owner changes."""
 
 import random
 
@@ -6,7 +6,7 @@
 import pytest
 
 from tamarackhaven._ledger import (
-    KEPT_ANSWER_BYTES,
+    MAX_STORED_ANSWER_BYTES,
     BookingAnswer,
     BookingEnd,
     BookingRefused,
@@ -25,10 +25,11 @@
 TRY = BookingTry("berths", 7, 1, "k-1", b"digest", 110.0, WINDOW_S)
 
 
-class Chain:
-    """One shard, its owners one after another, and a target that counts.
+class OwnerChain:
+    """One shard, its successive owners, and a target that counts executions.
 
-    The naive oracle is ``executions_by_key``: it remembers for ever and sees all.
+    The naive oracle is ``executions_by_key``: it records every execution and is never
+    trimmed.
     """
 
     def __init__(self, seed):
@@ -52,9 +53,9 @@
         skew = self.random.uniform(-MARGIN_S, MARGIN_S)
         key = f"k-{len(self.sent)}"
         self.sent.append(attrs.evolve(TRY, idempotency_key=key, first_sent_s=0.0))
-        stamp = self.now + skew
-        self.sent[-1] = attrs.evolve(self.sent[-1], first_sent_s=stamp)
-        # Some first tries are lost on the way: the resend is what arrives.
+        first_sent_s = self.now + skew
+        self.sent[-1] = attrs.evolve(self.sent[-1], first_sent_s=first_sent_s)
+        # Some first attempts are lost in transit, and only a resend arrives.
         if self.random.random() < 0.8:
             self.arrive(self.sent[-1])
 
@@ -80,7 +81,9 @@
             return
         index = self.random.randrange(len(self.open_runs))
         ledger, token = self.open_runs[index]
-        if self.random.random() < 0.8:  # the rest ends twice: a duplicated answer
+        if (
+            self.random.random() < 0.8
+        ):  # the others end twice, as with a duplicated answer
             del self.open_runs[index]
         answer = self.answer_by_key.get(token.idempotency_key)
         if answer is None:
@@ -97,12 +100,12 @@
     def planned_move(self):
         part = self.ledger.export("berths", 7)
         self.parts.append(part)
-        # Sometimes an old part arrives in its place, as a late duplicate.
-        offered = self.random.choice([part, part, part, self.parts[0]])
-        old, self.grant = self.grant, self.grant + 1
+        # Sometimes an old part arrives instead, as a late duplicate.
+        offered_part = self.random.choice([part, part, part, self.parts[0]])
+        old_grant, self.grant = self.grant, self.grant + 1
         self.ledger = Ledger(SETTINGS)
-        taken = self.ledger.import_(offered, self.grant, old, self.now)
-        assert taken == (offered.grant == old)
+        taken = self.ledger.import_(offered_part, self.grant, old_grant, self.now)
+        assert taken == (offered_part.grant == old_grant)
 
     def step(self):
         self.now += self.random.expovariate(2.0)
@@ -112,14 +115,14 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_booking_runs_twice_over_a_chain_of_owners(seed):
-    """A caller resends its booking and must not get two berths.
+def test_no_booking_runs_twice_across_owner_changes(seed):
+    """A booking that its caller resends must not run twice.
 
     Owners are lost with their ledgers or hand them over, old parts, answers and
     requests arrive late or twice, and callers' clocks are off within the margin. The
-    first-sent time shows what a lost owner could have run.
+    first-sent time shows whether a lost owner could have run a booking.
     """
-    chain = Chain(seed)
+    chain = OwnerChain(seed)
     for _ in range(1500):
         chain.step()
         assert max(chain.executions_by_key.values(), default=0) <= 1
@@ -139,7 +142,7 @@
     return decision.kind if isinstance(decision, BookingRefused) else type(decision)
 
 
-def test_each_refusal_has_its_kind():
+def test_begin_refuses_with_the_kind_of_each_cause():
     ledger = owned_ledger()
     assert kind_of(ledger, 110.0, grant=2) is ErrorKind.NOT_OWNER
     assert kind_of(ledger, 110.0, first_sent_s=101.9) is OWNER_CHANGED
@@ -147,7 +150,7 @@
     assert kind_of(ledger, 142.0) is ErrorKind.BOOKING_TOO_OLD
 
 
-def test_states_of_one_booking():
+def test_booking_outcomes_decide_about_its_resends():
     ledger = owned_ledger()
     first = ledger.begin(TRY, 110.0)
     assert kind_of(ledger, 110.0) is ErrorKind.BOOKING_IN_PROGRESS
@@ -160,21 +163,21 @@
     assert kind_of(ledger, 120.0) is ErrorKind.BOOKING_UNKNOWN
 
 
-def test_a_full_ledger_refuses_and_forgets_nothing_early():
+def test_full_ledger_refuses_new_bookings_and_keeps_entries():
     ledger = owned_ledger()
     for number in range(SETTINGS.ledger_entries):
         ledger.begin(attrs.evolve(TRY, idempotency_key=f"a-{number}"), 110.0)
     assert kind_of(ledger, 110.0) is ErrorKind.LEDGER_FULL
     assert kind_of(ledger, 140.0, idempotency_key="a-0") is not Run
-    # At 142 the window and margin of all have passed, but they still run.
+    # At 142 s the window and margin of all entries have passed, but they still run.
     late = {"idempotency_key": "b", "first_sent_s": 142.0}
     assert kind_of(ledger, 142.0, **late) is ErrorKind.LEDGER_FULL
 
 
-def test_a_longer_window_revives_no_forgotten_booking():
-    """Operators lengthen the window after a booking's entry has left.
+def test_longer_window_does_not_rerun_an_expired_booking():
+    """Operators lengthen the window after a booking's entry has expired.
 
-    Its resend is young again by the new window. It ran once, so it must be refused.
+    Its resend is within the new window. It ran once, so it must be refused.
     """
     ledger = owned_ledger()
     token = ledger.begin(TRY, 110.0).token
@@ -185,10 +188,10 @@
     assert kind_of(ledger, 150.0, window_s=900.0) is ErrorKind.BOOKING_TOO_OLD
 
 
-def test_an_unpinned_key_brings_no_second_run():
-    """A pin is removed, and its key's bookings come back to the ordinary shard.
+def test_removed_pin_does_not_rerun_a_booking():
+    """When a pin is removed, the bookings of its key return to the ordinary shard.
 
-    That shard's ledger is old and knows none of them; it must not run their resends.
+    That shard's ledger is old and has no entry for them; it must not run resends.
     """
     ledger = owned_ledger()
     ledger.restart("berths", 7, 120.0)
@@ -197,26 +200,26 @@
     assert kind_of(ledger, 122.5, **fresh) is Run
 
 
-def test_a_clock_that_steps_back_moves_no_ledger_start():
+def test_clock_step_back_does_not_move_the_ledger_start():
     ledger = Ledger(SETTINGS)
     ledger.adopt("berths", 6, 1, 200.0)
     ledger.adopt("berths", 7, 1, 100.0)
     assert kind_of(ledger, 100.0, first_sent_s=199.0) is OWNER_CHANGED
 
 
-def test_an_answer_too_large_keeps_its_status_and_says_so():
+def test_oversized_answer_is_replayed_with_status_only():
     ledger = owned_ledger()
     token = ledger.begin(TRY, 110.0).token
-    large = BookingAnswer(201, (), b"x" * (KEPT_ANSWER_BYTES + 1))
+    large = BookingAnswer(201, (), b"x" * (MAX_STORED_ANSWER_BYTES + 1))
     ledger.finish(token, BookingEnd.ANSWERED, large, 111.0)
     replay = ledger.begin(TRY, 112.0)
     assert replay.answer == BookingAnswer(201, (), b"", whole=False)
 
 
-def test_sheds_that_repeat_leave_no_growing_memory():
+def test_repeated_sheds_do_not_grow_the_expiry_heap():
     ledger = owned_ledger()
     for _ in range(2000):
         token = ledger.begin(TRY, 110.0).token
         ledger.finish(token, BookingEnd.DID_NOT_RUN, None, 110.0)
     assert len(ledger) == 0
-    assert len(ledger._leaving) < 200
+    assert len(ledger._expiry_heap) < 200
