--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon beside a target: servers, filters, gate and ledger put together."""
+"""The daemon beside a target: its servers, request path, gate and ledger."""
 
 import random
 import threading
@@ -31,45 +31,45 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 _ANNOUNCE_THREADS = 2
-# The forwarding daemon adds headers to what a caller may send.
+# A forwarding daemon adds headers to those of the caller.
 PEER_HEADER_BYTES = 2 * MAX_HEADER_BYTES
 
 
 @attrs.frozen
 class _Target:
-    """The present target: its gate and the connections to it."""
+    """The gate of the target's current start and the connections to it."""
 
     admission: Admission
     connections: Connections
 
 
 class Daemon:
-    """One daemon; signals are handled by whoever starts it.
+    """One daemon; the process that starts it handles signals.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Its settings.
+        Settings of the daemon.
     view : View
         The state of the control group; may change at any time.
     lease : Lease
         The lease of the target beside it.
     metrics : Metrics
-        Counters of the process.
+        Metrics of the process.
     log : Log
-        Each part gets one with its own prefix.
+        Each component logs to a part with its own prefix.
     clock : Clock
         Usually the module ``_clock``.
     on_target : callable or None
-        Called with the ``LinkState`` when the target announced itself, started anew
-        or began to leave.
+        Called with the ``LinkState`` when the target has announced itself, restarted
+        or begun to leave.
     take_ledger : callable or None
-        Takes the bytes of a ledger part from another daemon.
+        Called with the bytes of a ledger part from another daemon.
 
     Notes
     -----
-    ``on_confirmed`` must be called each time the state was confirmed: ``stale_s``
-    after the last call all requests are refused as STATE_STALE.
+    ``on_confirmed`` must be called each time the state is confirmed: ``stale_s``
+    seconds after the last call, all requests are refused with STATE_STALE.
     """
 
     def __init__(
@@ -172,7 +172,7 @@
         return server
 
     def start(self):
-        """Serve from now on."""
+        """Start all servers."""
         for server in self._servers:
             server.start()
         self._log.say(
@@ -184,10 +184,10 @@
         )
 
     def drain(self):
-        """Refuse new work with DRAINING and wait for what is in flight.
+        """Refuse new requests with DRAINING and wait for those in flight.
 
         Requests for keys of other targets are still forwarded. Returns whether all
-        ended within ``drain_s``.
+        requests ended within ``drain_s`` seconds.
         """
         with self._lock:
             self._draining = True
@@ -198,11 +198,11 @@
             target.admission.stop(ErrorKind.DRAINING)
         self._log.say("draining")
         done = self.path.wait_idle(self.settings.drain_s)
-        self._log.say("drained" if done else "drain time is over")
+        self._log.say("drained" if done else "requests still in flight after drain_s")
         return done
 
     def stop(self):
-        """Close all ports and connections; what is in flight is cut off."""
+        """Close all ports and connections, and abort requests in flight."""
         self._stop_servers()
         self._shared.close()
         self._forwarder.close()
@@ -216,25 +216,25 @@
         for server in self._servers:
             server.stop()
 
-    # What the control link tells.
+    # Calls from the control link.
 
     def on_grants(self, grants, pop_part=None, shard_count=0):
-        """Own exactly these ``ShardGrant`` records of this target from now on.
+        """Replace the owned ``ShardGrant`` records of this target.
 
         See ``Grants.replace`` for the parameters.
         """
         self._grants.replace(grants, pop_part, shard_count)
 
     def on_confirmed(self, now):
-        """Note that the state was confirmed at ``now``, seconds of CLOCK_BOOTTIME."""
+        """Record that the state was confirmed at ``now``, seconds of CLOCK_BOOTTIME."""
         self._confirmed_s = max(self._confirmed_s, now)
 
     def on_zone(self, state):
-        """Note the state of this daemon's availability zone."""
+        """Set the state of this daemon's availability zone."""
         self._zone = state
 
     def in_flight(self, service, shard):
-        """Return the number of requests in flight in a shard, waiting ones too."""
+        """Return the number of requests in flight in a shard, including queued ones."""
         return self._grants.in_flight((service, shard))
 
     def in_flight_of(self, grant, shard_count):
@@ -242,7 +242,7 @@
         return self._grants.in_flight_of(grant, shard_count)
 
     def in_flight_at_target(self):
-        """Return the number of requests in flight at the target, waiting ones too."""
+        """Return the number of requests in flight at the target, and queued for it."""
         return self._grants.in_flight_all()
 
     def export_ledger(self, service, shard):
@@ -251,12 +251,12 @@
             return self.ledger.export(service, shard)
 
     def gate_state(self):
-        """Return the gate's present limit, and whether it is cold.
+        """Return the gate's current limit, and whether the target is cold.
 
         Returns
         -------
         (int, bool)
-            A target that has not announced itself counts as cold, with limit 0.
+            Limit and whether cold; (0, True) before the target has announced itself.
         """
         target = self._target
         if target is None:
@@ -265,17 +265,17 @@
         return gauges["limit"], bool(gauges["cold"])
 
     def stop_admitting(self, service, shard):
-        """Take no new request of a shard until a newer grant, or ``resume``."""
+        """Refuse new requests of a shard until a newer grant or ``resume``."""
         self._grants.stop((service, shard))
 
     def resume(self, service, shard):
-        """Take requests of a shard again, should its move be taken back."""
+        """Admit requests of a shard again after its move was cancelled."""
         self._grants.resume((service, shard))
 
-    # What the target says.
+    # Calls from the target.
 
     def announced(self, announcement):
-        """Take in the announcement of a target; a new start gets a new gate.
+        """Apply the announcement of a target; each start of it gets a new gate.
 
         Raises
         ------
@@ -290,7 +290,7 @@
                 self._replace_target(announcement)
             else:
                 self.silence.heard(self._clock.boot_s())
-            # Last, so that who reads of a start finds its gate in place.
+            # Last, so that a reader of the new link state finds the new gate in place.
             self.link.announce(announcement)
         if not new:
             return
@@ -298,7 +298,7 @@
         self._on_target(self.link.state())
 
     def reported(self, report):
-        """Take in a report of the target."""
+        """Apply a load report of the target."""
         self.link.report(report)
         self.silence.reported(self._clock.boot_s())
         target = self._target
@@ -308,7 +308,7 @@
                 self._metrics.gauge(f"tamarackhaven_gate_{name}", value)
 
     def left(self):
-        """Take in that the target has begun to leave."""
+        """Refuse queued and new requests: the target has begun to leave."""
         self.link.leave()
         self.silence.heard(self._clock.boot_s())
         target = self._target
@@ -318,22 +318,22 @@
         self._on_target(self.link.state())
 
     def give_up_target(self):
-        """Refuse what waits for a hung target; what is in flight ends by itself."""
+        """Refuse requests queued for a hung target; those in flight continue."""
         target = self._target
         if target is not None:
             self._given_up = target
-            # They did not run, and may run at the next owner.
+            # The queued requests did not run, so the next owner may run them.
             target.admission.stop(ErrorKind.MOVING)
 
     def take_target_back(self):
-        """Let requests through to a target that was given up and speaks again."""
+        """Admit requests again to a target that was hung and now responds."""
         given_up, self._given_up = self._given_up, None
         leaving = self._draining or self.link.state().leaving
         if given_up is not None and given_up is self._target and not leaving:
             given_up.admission.open(cold=False)
 
     def state(self):
-        """Return what the target is told, as a JSON object."""
+        """Return the daemon's state for the target, as a JSON object."""
         now = self._clock.boot_s()
         return {
             "draining": self._draining,
@@ -342,7 +342,7 @@
         }
 
     def standing(self):
-        """Return what this daemon knows of itself now."""
+        """Return the current ``Standing`` of this daemon."""
         return Standing(
             service=self.settings.service,
             target=self.settings.target,
@@ -375,14 +375,14 @@
         target = self._target
         if target is None:
             raise TamarackhavenError(
-                ErrorKind.TARGET_UNREACHABLE, "It has not announced itself."
+                ErrorKind.TARGET_UNREACHABLE, "The target has not announced itself."
             )
         return target.admission, target.connections
 
 
 @attrs.frozen
 class _Locked:
-    """The ledger's adopt and drop under its lock."""
+    """The ledger's methods for shard ownership, called under its lock."""
 
     ledger: Ledger
     lock: threading.Lock
@@ -405,11 +405,16 @@
 
 
 def _check_address(announced, expected):
-    """Refuse an announcement that the probe of the target would not fit.
+    """Refuse an announcement whose address isn't the one that the probe watches.
 
-    Failure: requests go to the announced address while the probe watches the one of
-    the settings. Symptom: a target in good health is given up, or one that is down is
-    kept. With one address for both neither can happen.
+    Requests go to the announced address, while the probe watches the address in the
+    settings. If these differ, a healthy target could be retired, or one that is down
+    could be kept.
+
+    Raises
+    ------
+    TamarackhavenError
+        ADDRESS_MISMATCH, naming both addresses.
     """
     same_port = expected.port in (0, announced.port)
     if announced.host != expected.host or not same_port:
@@ -421,7 +426,7 @@
 
 
 def _end(target):
-    """Close what an earlier start of the target left; waiting requests are refused."""
+    """Refuse requests queued for an earlier target start; close its connections."""
     if target is None:
         return
     target.admission.stop(ErrorKind.TARGET_UNREACHABLE)
@@ -430,4 +435,6 @@
 
 
 def _no_ledger(body):
-    raise TamarackhavenError(ErrorKind.NOT_FOUND, "This daemon takes no ledger parts.")
+    raise TamarackhavenError(
+        ErrorKind.NOT_FOUND, "This daemon accepts no ledger parts."
+    )
--- a/tamarackhaven/_gate.py
+++ b/tamarackhaven/_gate.py
@@ -209,7 +209,7 @@
         else:
             self._reserve_abandoned(finish.latency_s)
         # A target that crashes can be back cold before any report shows it. All its
-        # slots are freed_at at once and it would be overloaded. Connections cut with no
+        # slots are freed at once and it would be overloaded. Connections cut with no
         # answer in between are the first sign of such a restart.
         if finish.end is End.FAILED:
             self._record_failure(suspected=False)
@@ -236,7 +236,7 @@
 
         Callers with short deadlines abandon requests at a slow target. If others took
         their slots at once, the target would run twice its limit and slow further.
-        The slot is freed_at by a report or after a few mean holding times.
+        The slot is freed by a report or after a few mean holding times.
         """
         self._dequeue_rate.ended(max(latency_s, self._dequeue_rate.hold_s), self._now)
         expected_s = ABANDONED_HOLDING_TIMES * self._dequeue_rate.hold_s
--- a/tamarackhaven/_view.py
+++ b/tamarackhaven/_view.py
@@ -1,7 +1,7 @@
-"""A daemon's copy of the state, compact and never going back.
+"""A daemon's compact copy of the cluster state, which never reverts to an older one.
 
-At 65,536 shards a record each would take many megabytes of the 64 a daemon may use;
-so shards are kept in typed arrays, and records are made when asked for.
+With 65,536 shards, one record object each would take many of the 64 MB that a daemon
+may use. So shards are stored in typed arrays, and records are built on request.
 """
 
 import threading
@@ -26,7 +26,7 @@
 
 
 class _Shards:
-    """The grants of one service: 36 bytes a shard."""
+    """The grants of one service, at 36 bytes per shard."""
 
     def __init__(self):
         self._names = [""]
@@ -96,7 +96,7 @@
 
 
 class View:
-    """What a daemon knows; all methods are safe to call from any thread."""
+    """The state that a daemon has fetched; all methods are thread-safe."""
 
     def __init__(self):
         self._lock = threading.Lock()
@@ -113,7 +113,7 @@
 
     @property
     def version(self):
-        """Version of the state that this view has."""
+        """Version of the state in this view, 0 before the first feed."""
         return self._version
 
     @property
@@ -124,9 +124,9 @@
     def apply(self, feed):
         """Apply a ``Feed``; return False if it is not newer and was ignored.
 
-        A feed of an older version comes from a control VM that lags, or late. Acting
-        on it would revert a configuration already in force, so it is dropped: what
-        it tells is contained in what is known.
+        A feed of an older version comes from a control VM that lags, or arrives late.
+        Applying it would revert a configuration that is already in force, so it is
+        dropped: this view already contains its events.
         """
         with self._applying:
             if feed.version <= self._version:
@@ -147,9 +147,9 @@
             self._version = feed.version
 
     def _replace(self, feed):
-        # Load: a first feed of 65,536 shards takes a second to read. Harm: read under
-        # the lock it would hold up every request for that long. Limit: it is read
-        # into tables of its own, 2.4 MB, and put in place at once.
+        # A first feed of 65,536 shards takes a second to read. Read under the lock, it
+        # would block every request for that long. So it is read into separate tables of
+        # 2.4 MB, which then replace the old ones at once.
         fresh = View()
         for event in feed.events:
             fresh._apply(event)
@@ -194,20 +194,22 @@
                 del self._members_by_key[key]
 
     def locate(self, service, key_hash):
-        """Return where a key is.
+        """Return the shard, owner and policy of a key as a ``Located``.
 
         Raises
         ------
         TamarackhavenError
-            UNKNOWN_SERVICE, or STATE_STALE before the first state has arrived: then
-            nothing is known, and "no such service" would make a caller give up.
+            UNKNOWN_SERVICE, or STATE_STALE before the first state has arrived: a
+            caller would treat UNKNOWN_SERVICE as final and not retry.
         """
         with self._lock:
             resource = self._resources_by_key.get(("Service", service))
             shards = self._shards_by_service.get(service)
             if not self._version:
                 raise TamarackhavenError(
-                    ErrorKind.STATE_STALE, "No state yet.", FIRST_STATE_RETRY_S
+                    ErrorKind.STATE_STALE,
+                    "No state has been received yet.",
+                    FIRST_STATE_RETRY_S,
                 )
             if resource is None or shards is None:
                 raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, service)
@@ -223,10 +225,10 @@
         return policy.mode if policy else PolicyMode.EXCLUSIVE
 
     def takers(self, service):
-        """Return the targets of a service that take work, by this view.
+        """Return the targets of a service that accept requests, by this view.
 
-        They are active and their availability zones are in. The list is made once a
-        version, as each request of a shared service asks for it.
+        They are active and their availability zones are in. The list is cached per
+        version, as each request of a shared service needs it.
         """
         with self._lock:
             known = self._takers_by_service.get(service)
@@ -242,7 +244,7 @@
         return member.state is TargetState.ACTIVE and not out
 
     def owned_by(self, service, target):
-        """Return the grants of a target."""
+        """Return the ``ShardGrant`` records that a target owns."""
         with self._lock:
             shards = self._shards_by_service.get(service)
             if shards is None:
@@ -250,12 +252,12 @@
             return [shards.get(service, shard) for shard in shards.owned_by(target)]
 
     def member(self, service, target):
-        """Return a target, or None."""
+        """Return the ``TargetMember`` of a target, or None."""
         with self._lock:
             return self._members_by_key.get((service, target))
 
     def members(self, service):
-        """Return the targets of a service."""
+        """Return the ``TargetMember`` records of a service."""
         with self._lock:
             return [m for m in self._members_by_key.values() if m.service == service]
 
@@ -265,6 +267,6 @@
         return resource.shard_count if resource else 0
 
     def resource(self, kind, name):
-        """Return the resource of class name ``kind``, or None."""
+        """Return the resource of class ``kind`` named ``name``, or None."""
         with self._lock:
             return self._resources_by_key.get((kind, name))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the history of events and of a daemon's view."""
+"""Tests of the event history and of a daemon's view."""
 
 import random
 
@@ -20,7 +20,8 @@
 def test_view_never_goes_back():
     """A control VM that lags answers a daemon that has a newer configuration.
 
-    Taken in, the old answer would revert what operators were told is in force.
+    If it were applied, the old answer would revert a configuration that operators were
+    told is in force.
     """
     view = View()
     assert view.apply(Feed(5, False, [zone_event(5, "new")]))
@@ -60,7 +61,7 @@
 
 
 def test_view_built_from_deltas_equals_the_state():
-    """Random changes reach a view by deltas in random portions."""
+    """Random changes are applied to a view as deltas of random length."""
     rng = random.Random(7)
     state, history, view = ClusterState(), History(), View()
     for index in range(1, 120):
