--- a/tamarackhaven/_announce_app.py
+++ b/tamarackhaven/_announce_app.py
@@ -1,7 +1,7 @@
-"""The WSGI application for the target beside the daemon.
+"""The WSGI application that the target beside the daemon calls.
 
-``POST /announce``, ``POST /report`` and ``POST /leaving``, each with a JSON object; the
-answers say the daemon's state.
+It serves ``POST /announce``, ``POST /report`` and ``POST /leaving``, each with a JSON
+object; the answers contain the daemon's state.
 """
 
 import json
@@ -19,7 +19,7 @@
     Parameters
     ----------
     heard : object
-        With ``announced(Announcement)``, ``reported(TargetReport)``, ``left()`` and
+        Has ``announced(Announcement)``, ``reported(TargetReport)``, ``left()`` and
         ``state()``, which returns a JSON object.
     """
     action_by_path = {
--- a/tamarackhaven/_control.py
+++ b/tamarackhaven/_control.py
@@ -1,4 +1,4 @@
-"""One control VM: storage, consensus, leases, the leader's duties and the calls."""
+"""One control VM: storage, consensus, leases, leader duties and gRPC services."""
 
 import concurrent.futures
 import os
@@ -31,21 +31,23 @@
 
 
 class Control:
-    """A control VM's process.
+    """The components of one control VM.
 
     Parameters
     ----------
     settings : ControlSettings
-        Checked settings.
+        Validated settings.
     log : Log
-        Of the part ``control``.
+        Log of the part ``control``.
     on_fatal : callable
-        ``on_fatal(error)`` once this member can't go on; the process must exit.
+        ``on_fatal(error)`` after an error that this member can't recover from; the
+        process must then exit.
 
     Raises
     ------
     TamarackhavenError
-        If a port is taken or the data folder can't be used.
+        PORT_TAKEN if a port is taken, or another kind if the data folder can't be
+        used.
     """
 
     def __init__(self, settings, log, on_fatal):
@@ -106,7 +108,7 @@
         try:
             return metrics_server(self.metrics, self._settings.metrics)
         except TamarackhavenError:
-            # Its thread would keep the process from ending.
+            # The lease thread would keep the process running.
             self.leases.stop()
             raise
 
@@ -128,12 +130,12 @@
             )
 
     def start(self):
-        """Start the member and answer calls; after an error, ``stop`` it.
+        """Start the member and its servers; call ``stop`` even if this fails.
 
         Raises
         ------
         TamarackhavenError
-            PORT_TAKEN.
+            PORT_TAKEN, naming the address.
         """
         self.consensus.start()
         self.leader.start()
@@ -163,7 +165,7 @@
         self._server = server
 
     def _persist_fence(self, service, target, epoch):
-        """Sync a fence; a member that can't must stop, as after any failed sync."""
+        """Persist a fence; if that fails, the member stops as after any failed sync."""
         try:
             self._fences.fence(service, target, epoch)
         except TamarackhavenError as error:
@@ -200,9 +202,10 @@
         return self._settings.name in membership.voters
 
     def _lease_view(self, epoch):
-        """Return what this control VM knows of an epoch, for one renewal."""
-        # The newest in the log, committed or not: by the applied one a majority could
-        # go on granting by a membership whose successor is committed already.
+        """Return the ``LeaseView`` of an epoch, to decide on one renewal."""
+        # The newest membership in the log, committed or not. With the applied one, a
+        # majority could still grant leases under a membership whose successor is
+        # already committed.
         membership = self.consensus.status().membership
         self._note_voter(membership)
         with self.machine.lock:
@@ -219,12 +222,13 @@
         )
 
     def _is_out(self, zone):
-        """Whether a zone has been out for longer than its targets may take work.
+        """Return whether a zone has been out for longer than its targets are served.
 
-        Renewals go on for a moment, so that a daemon that hears can hand over its
-        shards one by one; one that can't hear stops when its lease then ends. A lease
-        time more than the daemons' own grace, since they hear of the change later and
-        would else be refused just before they say that they only drain.
+        Renewals continue for a grace period, so that a daemon that receives the change
+        can hand over its shards one by one; one that doesn't stops when its lease then
+        ends. The period is the daemons' own grace period plus one lease duration: they
+        receive the change later, and would otherwise be refused just before they
+        report that they are draining.
         """
         since = self._zone_out_since.get(zone)
         lease = self._settings.lease
@@ -232,7 +236,7 @@
         return since is not None and _clock.boot_s() - since >= grace_s
 
     def stop(self):
-        """Stop everything this process started."""
+        """Stop all threads, servers and connections of this member."""
         self.leader.stop()
         self._page.stop()
         self._loop.call(self._close(), CALL_TIMEOUT_S)
@@ -257,8 +261,8 @@
 def _first_membership(settings):
     """Return the membership at the group's first start.
 
-    A member that joins a running group is not in it: it learns the real one from the
-    leader, and until then it neither votes nor counts as a voter.
+    It excludes a member that joins a running group. That member gets the actual
+    membership from the leader, and until then neither votes nor counts as a voter.
     """
     members = [
         Member(m.name, m.host, m.port, m.lease_port)
--- a/tamarackhaven/_control_client.py
+++ b/tamarackhaven/_control_client.py
@@ -1,4 +1,4 @@
-"""Calls from daemons and operators to the control VMs, whichever answers."""
+"""A gRPC client for the control VMs, with failover between them."""
 
 import asyncio
 
@@ -17,9 +17,9 @@
 from tamarackhaven._wire_grpc import ControlStub
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# One try gets a part of the caller's time, so that a control VM which takes the
-# connection and then says nothing (frozen, or cut off one way) leaves time to ask
-# the next one.
+# Fraction of the caller's timeout for one attempt, so that a control VM that accepts
+# the connection but doesn't answer (frozen, or cut off in one direction) leaves time to
+# try the next one.
 TRY_PART = 0.4
 PAUSE_S = 0.05
 CALL_FAILURES = (
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class MemberStatus:
-    """What one control VM says of the consensus group."""
+    """The consensus group as one control VM reports it."""
 
     member: str
     role: str
@@ -50,7 +50,7 @@
     Parameters
     ----------
     members : sequence of ControlMember or Member
-        Where to ask; ``set_members`` replaces them.
+        Control VMs to call; ``set_members`` replaces them.
     """
 
     def __init__(self, members):
@@ -60,21 +60,21 @@
         self._preferred = 0
 
     def set_members(self, members):
-        """Ask these control VMs from now on."""
+        """Call these control VMs from now on; an empty list changes nothing."""
         if members:
             self._members = list(members)
 
     def change(self, change, timeout_s):
         """Send a change and return its ``Outcome``.
 
-        It is sent again to another control VM when one gives no answer: a change
-        with a change id gets its first outcome, the others are harmless twice.
+        It is resent to another control VM if one gives no answer: a change with a
+        change id gets its first outcome, and the others are harmless if applied twice.
 
         Raises
         ------
         TamarackhavenError
-            CONTROL_UNREACHABLE if none took the call, CHANGE_UNCONFIRMED if one took
-            it and the outcome isn't known.
+            CHANGE_UNCONFIRMED if no control VM answered with an outcome within
+            ``timeout_s`` seconds.
         """
         request = pb.ChangeRequest(change=_codec.dumps(change, Change))
 
@@ -87,7 +87,7 @@
         return self._until_answered(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def change_membership(self, step, timeout_s):
-        """Add, promote or remove a member; return the ``Outcome``."""
+        """Add, promote or remove a member of the group; return the ``Outcome``."""
         request = pb.MembershipRequest(step=_codec.dumps(step, Step))
 
         async def call(stub, try_s):
@@ -99,7 +99,7 @@
         return self._until_answered(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def fetch(self, from_version, timeout_s, linearizable=False):
-        """Return the ``Feed`` since a version; a linearizable one asks the leader."""
+        """Return the ``Feed`` since a version; a linearizable one is the leader's."""
         request = pb.FetchRequest(from_version=from_version, linearizable=linearizable)
 
         async def call(stub, try_s):
@@ -120,7 +120,7 @@
         return self._until_answered(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
 
     def report(self, report, timeout_s):
-        """Send a ``LoadReport``; the control VM passes it to the leader."""
+        """Send a ``LoadReport``, which the control VM forwards to the leader."""
         request = pb.ReportRequest(report=_codec.dumps(report, LoadReport))
 
         async def call(stub, try_s):
@@ -134,7 +134,7 @@
         Raises
         ------
         TamarackhavenError
-            CONTROL_UNREACHABLE if it does not answer.
+            CONTROL_UNREACHABLE, naming the member, if it doesn't answer.
         """
 
         async def call():
@@ -157,10 +157,10 @@
         )
 
     def watch(self, from_version, timeout_s):
-        """Yield a ``Feed`` after another, for ever, from whichever member answers.
+        """Yield each newer ``Feed`` without end, from any member that answers.
 
-        A feed that is not newer than the last one is left out, so a member that lags
-        never takes the watcher back.
+        A feed that isn't newer than the last one is skipped, so a member that lags
+        never takes the watcher back to an older version.
         """
         version = from_version
         while True:
@@ -234,5 +234,5 @@
 
 
 def _passing(code):
-    """Whether another control VM, or the same one soon, may answer better."""
+    """Return whether a retry at any control VM may give another outcome."""
     return code in (ErrorKind.NO_QUORUM.value, ErrorKind.CHANGE_UNCONFIRMED.value)
--- a/tamarackhaven/_control_process.py
+++ b/tamarackhaven/_control_process.py
@@ -1,4 +1,4 @@
-"""Starts a control VM, and refuses to start one that has lost its folder."""
+"""Starts a control VM, unless it has lost its data folder."""
 
 from pathlib import Path
 
@@ -13,12 +13,12 @@
 
 
 def run_control(settings, first_start, stop):
-    """Run until ``stop`` (a ``threading.Event``) is set or the member can't go on.
+    """Run until ``stop`` (a ``threading.Event``) is set or a fatal error occurs.
 
     Raises
     ------
     TamarackhavenError
-        What stopped it, such as LOG_DAMAGED or MEMBER_UNKNOWN.
+        The fatal error, such as LOG_DAMAGED or MEMBER_UNKNOWN.
     """
     folder = Path(settings.data_folder)
     folder.mkdir(parents=True, exist_ok=True)
@@ -36,24 +36,30 @@
         control.start()
         stop.wait()
     finally:
-        # Failure: a port is taken, or a sync failed. Symptom: the threads for leases
-        # and calls keep the process alive, and a member that can't go on still renews
-        # leases. Enough: they end here, whatever the error was; after a failed sync
-        # the log is closed already, so nothing more is written.
+        # After any error, such as a taken port or a failed sync, the lease and gRPC
+        # threads would keep the process alive, and a failed member would still renew
+        # leases. After a failed sync the log is already closed, so ``stop`` writes
+        # nothing more.
         control.stop()
     if fatal:
-        log.say("stopped by a fault", error=str(fatal[0]))
+        log.say("stopped after a fatal error", error=str(fatal[0]))
         raise fatal[0]
 
 
 def _check_first_start(settings, folder, first_start):
-    """Refuse an empty folder that nobody asked for.
+    """Refuse to start with an empty folder unless this is an explicit first start.
 
-    Failure: a disk is lost or a folder removed, and the member starts again under its
-    name. Symptom: it votes a second time in a term, or grants what it had promised to
-    refuse, and an acknowledged assignment is gone. An explicit word at the first
-    start, and a new name for a member that joins, are enough: a name that has ever
-    voted never comes back with an empty folder.
+    If a disk is lost or a folder removed and the member starts again under its name, it
+    could vote a second time in a term or grant what it had promised to refuse, and an
+    acknowledged assignment would be lost. The flag at the first start and a new name
+    for each member that joins ensure that a name that has ever voted never returns with
+    an empty folder.
+
+    Raises
+    ------
+    TamarackhavenError
+        MEMBER_UNKNOWN if the folder is empty and this is neither a first start nor a
+        join under a new name; CONTROL_UNREACHABLE if no member answers a join.
     """
     storage = Storage.open(folder)
     is_new = storage.is_new
@@ -76,5 +82,5 @@
     if settings.name in membership.membership.by_name:
         raise TamarackhavenError(
             ErrorKind.MEMBER_UNKNOWN,
-            f"The group has a member {settings.name!r} already; take a new name.",
+            f"The group already has a member {settings.name!r}; use a new name.",
         )
--- a/tamarackhaven/_control_services.py
+++ b/tamarackhaven/_control_services.py
@@ -1,4 +1,4 @@
-"""The calls that a control VM answers, over ``grpclib``."""
+"""The gRPC services of a control VM, on ``grpclib``."""
 
 import asyncio
 import contextlib
@@ -23,16 +23,16 @@
 
 
 class PeerService(PeerBase):
-    """Calls from other control VMs.
+    """The service that other control VMs call.
 
     Parameters
     ----------
     consensus : Consensus
-        Takes the messages.
+        Receives the messages.
     fence : callable
-        ``fence(service, target, epoch) -> FenceAnswer``; it syncs a file.
+        ``fence(service, target, epoch) -> FenceAnswer``; it syncs a file to disk.
     executor : concurrent.futures.Executor
-        Where ``fence`` runs, away from the event loop.
+        Runs ``fence`` outside the event loop.
     """
 
     def __init__(self, consensus, fence, executor):
@@ -41,14 +41,14 @@
         self._executor = executor
 
     async def Step(self, stream):  # noqa: N802
-        """Take consensus messages until the sender ends the call."""
+        """Deliver consensus messages until the sender ends the call."""
         async for request in stream:
             messages = [from_wire(message) for message in request.messages]
             self._consensus.deliver(messages)
         await stream.send_message(pb.StepReply())
 
     async def Fence(self, stream):  # noqa: N802
-        """Refuse an epoch from now on, if its promise has run out."""
+        """Fence an epoch if its lease promise has expired."""
         request = await stream.recv_message()
         answer = await asyncio.get_running_loop().run_in_executor(
             self._executor, self._fence, request.service, request.target, request.epoch
@@ -60,7 +60,7 @@
 
 
 class Versions:
-    """Lets coroutines wait until an entry is applied."""
+    """Lets coroutines wait until a newer version is applied."""
 
     def __init__(self, machine, loop):
         self._machine = machine
@@ -79,7 +79,7 @@
         self._waiting.clear()
 
     async def newer_than(self, version, timeout_s):
-        """Return once the applied version is higher, or after ``timeout_s``."""
+        """Return once a newer version is applied, or after ``timeout_s`` seconds."""
         end = self._loop.time() + timeout_s
         while self._machine.version <= version:
             left = end - self._loop.time()
@@ -87,7 +87,7 @@
                 return
             future = self._loop.create_future()
             self._waiting.add(future)
-            # An entry applied before the line above told nobody.
+            # An entry that was applied before the line above has not woken this future.
             if self._machine.version > version:
                 return
             await asyncio.wait([future], timeout=left)
@@ -95,20 +95,20 @@
 
 
 class ControlService(ControlBase):
-    """Calls from daemons and operators.
+    """The service that daemons and operators call.
 
     Parameters
     ----------
     consensus : Consensus
         The replicated log.
     machine : Machine
-        What is applied of it here.
+        State machine with the entries that are applied here.
     peers : Peers
-        The way to the leader.
+        Connections to the other members, among them the leader.
     leader : LeaderDuties
-        What the leader knows beyond the log: reports and silent targets.
+        The leader's state outside the log: load reports and silent targets.
     versions : Versions
-        For watchers.
+        Wakes watchers when a version is applied.
     """
 
     def __init__(self, consensus, machine, peers, leader, versions):
@@ -120,7 +120,7 @@
         self._newest = None, b""
 
     async def Change(self, stream):  # noqa: N802
-        """Commit a change; passed to the leader once if this is not it."""
+        """Commit a change; a follower forwards it to the leader once."""
         request = await stream.recv_message()
         outcome = await self._change(request)
         await stream.send_message(
@@ -131,7 +131,7 @@
         leader = self._leader_stub()
         if leader is not None:
             if request.forwarded:
-                return _outcome(ErrorKind.NO_QUORUM, "leadership is moving")
+                return _outcome(ErrorKind.NO_QUORUM, "leadership is changing")
             request.forwarded = True
             try:
                 reply = await leader.Change(request, timeout=request.timeout_ms / 1000)
@@ -162,7 +162,9 @@
                 asyncio.wrap_future(future), timeout_ms / 1000
             )
         except TimeoutError:
-            return _outcome(ErrorKind.CHANGE_UNCONFIRMED, "no majority in time")
+            return _outcome(
+                ErrorKind.CHANGE_UNCONFIRMED, "no majority within the timeout"
+            )
 
     async def Membership(self, stream):  # noqa: N802
         """Add, promote or remove a member of the group."""
@@ -185,7 +187,7 @@
         )
 
     async def Fetch(self, stream):  # noqa: N802
-        """Answer the events since a version, waiting for some if asked to."""
+        """Answer the events since a version; wait up to ``wait_ms`` for newer ones."""
         request = await stream.recv_message()
         if request.linearizable:
             leader = self._leader_stub()
@@ -211,11 +213,11 @@
         )
 
     def _packed(self, feed):
-        """Return the feed's events as bytes, the newest ones from memory.
+        """Return the feed's events as bytes, cached for the newest feed.
 
-        Load: 1,500 daemons fetch the same change within a moment. Harm: packed anew
-        for each, 4,096 changed shards take a minute of processor time. Limit: one
-        feed is kept, since nearly all of them come from the same version.
+        1,500 daemons fetch the same change within a moment. Packed for each of them,
+        4,096 changed shards would take a minute of processor time. One cached feed is
+        sufficient, as nearly all daemons fetch from the same version.
         """
         if not feed.events:
             return b""
@@ -226,7 +228,7 @@
         return self._newest[1]
 
     async def Explain(self, stream):  # noqa: N802
-        """Answer recorded decisions; the leader also knows the moves not made."""
+        """Answer recorded decisions; only the leader has those against a move."""
         request = await stream.recv_message()
         leader = self._leader_stub()
         if leader is not None:
@@ -262,11 +264,11 @@
         return _keys.shard_of(key_hash, resource.shard_count)
 
     async def Report(self, stream):  # noqa: N802
-        """Take a daemon's report of load."""
+        """Record a daemon's load report, or forward it to the leader."""
         request = await stream.recv_message()
         leader = self._leader_stub()
         if leader is not None:
-            # A report that is lost with its leader is followed by the next one.
+            # If the leader is lost, the next report replaces this one.
             with contextlib.suppress(*CALL_FAILURES):
                 await leader.Report(request, timeout=1)
         else:
@@ -274,7 +276,7 @@
         await stream.send_message(pb.ReportReply())
 
     async def Status(self, stream):  # noqa: N802
-        """Answer what this member knows of the group."""
+        """Answer this member's view of the group."""
         await stream.recv_message()
         status = self._consensus.status()
         await stream.send_message(
@@ -289,7 +291,7 @@
         )
 
     def _leader_stub(self):
-        """Return the leader's stub, or None if this member has to answer itself."""
+        """Return the leader's stub, or None if this member must answer by itself."""
         status = self._consensus.status()
         if not status.leader or status.leader == status.name:
             return None
--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -318,7 +318,7 @@
         self._on_target(self.link.state())
 
     def give_up_target(self):
-        """Refuse requests queued for a hung target; those in flight continue."""
+        """Refuse requests queued for a hung target; ``Owner`` ends those in flight."""
         target = self._target
         if target is not None:
             self._given_up = target
--- a/tamarackhaven/_daemon_process.py
+++ b/tamarackhaven/_daemon_process.py
@@ -1,4 +1,4 @@
-"""Ties a daemon to the control group: joins, keeps the map, holds the lease."""
+"""The process of a daemon: joins the group, fetches its state, renews the lease."""
 
 import os
 import threading
@@ -25,14 +25,14 @@
 CALL_TIMEOUT_S = 3.0
 RETRY_S = 0.1
 JOIN_PAUSE_S = 2.0
-# A turn without a fetch passes on when the map was last confirmed, well within
-# ``stale_s``.
+# Also without a fetch, the time of the last confirmation of the state is passed on at
+# this interval, which is well within ``stale_s``.
 TURN_S = 0.5
 POLL_S = 0.02
 
 
 class OwnLease:
-    """The lease as the request path sees it."""
+    """The lease interface that the request path uses."""
 
     def __init__(self, client):
         self._client = client
@@ -42,21 +42,21 @@
         return now < self._client.held_until()
 
     def held_until(self, now):
-        """Return the end of the lease as known at ``now``, in seconds."""
+        """Return the end of the lease, in seconds of the same clock as ``now``."""
         return self._client.held_until()
 
     def epoch(self):
-        """Return the epoch that the lease is for, 0 if none."""
+        """Return the epoch of the lease, 0 if there is none."""
         return self._client.epoch()
 
 
 class DaemonProcess:
-    """A daemon with all its connections.
+    """A daemon with its connections to the control group and its threads.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
@@ -123,7 +123,7 @@
                 take_ledger=self._parts.take,
             )
         except TamarackhavenError:
-            # Their threads would keep the process from ending.
+            # The threads of both would keep the process running.
             self._lease.stop()
             self._client.close()
             raise
@@ -136,7 +136,7 @@
         metrics.gauge("tamarackhaven_map_version", self._view.version)
 
     def start(self):
-        """Serve, and join once the target announces itself."""
+        """Start serving; the daemon joins once the target has announced itself."""
         self.daemon.start()
         self._handover.start()
         self._reports.start()
@@ -145,7 +145,7 @@
             thread.start()
         self._log.say("started", instance=self._instance, pid=os.getpid())
 
-    # --- the map ----------------------------------------------------------------
+    # --- state of the control group ---------------------------------------------
 
     def _keep_map(self):
         while not self._stopping.is_set():
@@ -159,7 +159,7 @@
             except TamarackhavenError as error:
                 self._log.say("map not fetched", code=error.kind.value)
             except Exception as error:
-                self._log.say("map not understood", error=repr(error))
+                self._log.say("map not applied", error=repr(error))
                 self._stopping.wait(RETRY_S)
             self.daemon.on_confirmed(self._lease.confirmed_at())
 
@@ -183,11 +183,11 @@
         self._pace.asked(asked_at)
         feed = self._client.fetch(self._view.version, CALL_TIMEOUT_S)
         if feed.version < self._view.version:
-            # A control VM that lags: what it says is older than what is in force.
+            # From a control VM that lags: older than the state already applied.
             return
         if self._lease.needs_epoch():
-            # Without a lease nobody confirms the map but the fetch itself; such a
-            # daemon owns nothing and only forwards.
+            # Without a lease, only the fetch itself confirms the state. Such a daemon
+            # owns no shards and only forwards.
             self.daemon.on_confirmed(asked_at)
         if self._view.apply(feed):
             self._applied()
@@ -201,17 +201,18 @@
         if zone is not None:
             self._zone_changed(zone.state)
         self._take_grants()
-        # Only now: a renewal with this version says that it is acted on.
+        # Last, as a renewal with this version confirms that it has been applied.
         self._lease.set_state_version(view.version)
         self._handover.changed()
         self._check_epoch()
 
     def _zone_changed(self, state):
-        """Note the zone's state; work stops a moment after it was taken out.
+        """Set the zone's state; requests are refused a grace period after it goes out.
 
-        In that moment the shards are handed over one by one and served until then;
-        stopped at once, all their keys would be without service for as long as the
-        moves take. What has not moved by its end gets no more work here.
+        During the grace period the shards are handed over one by one, and each is
+        served until its move. Without it, none of their keys would be served for as
+        long as the moves take. Shards that have not moved by its end get no more
+        requests here.
         """
         if state is ZoneState.IN:
             self._zone_out_since = None
@@ -225,12 +226,12 @@
             self._lease.set_draining(state is ZoneState.OUT)
 
     def _take_grants(self):
-        """Own what the map grants to the epoch of the lease.
+        """Own the shards that the state grants to the epoch of the lease.
 
-        Called when either changes, in whichever order they arrive. Failure: the map
-        with the new epoch comes before the answer to the join. Symptom: without a
-        second look after the answer this daemon owns nothing of it, and answers
-        MOVING for its shards until the next change of the map.
+        Called when either the state or the epoch changes, as they arrive in any order.
+        The state with the new epoch can arrive before the answer to the join. If it
+        weren't checked again after the answer, this daemon would own no shards and
+        answer MOVING for them until the next change of the state.
         """
         with self._grants_lock:
             self._replace_grants()
@@ -246,7 +247,7 @@
         )
 
     def _check_epoch(self):
-        """Join again if the log has retired or replaced this daemon's epoch."""
+        """Join again if this daemon's epoch was retired or replaced in the log."""
         settings = self._settings
         member = self._view.member(settings.service, settings.target)
         epoch = self._lease.epoch()
@@ -305,11 +306,11 @@
             raise TamarackhavenError(ErrorKind.TARGET_UNREACHABLE, "before joining")
         self.daemon.take_target_back()
         settings = self._settings
-        # Each join is an entry of the log. A daemon that is refused again and again
-        # would fill it, and push older decisions out of the record.
+        # Each join is an entry of the log. A daemon that is refused repeatedly would
+        # fill it and displace older decisions from the record.
         self._stopping.wait(self._joined_at + JOIN_PAUSE_S - _clock.boot_s())
         if not self._needs_epoch():
-            # What wanted it has been met meanwhile.
+            # The reason for this join no longer holds.
             return
         change = JoinTarget(
             service=settings.service,
@@ -335,13 +336,14 @@
         return self.daemon.silence.check(_clock.boot_s())
 
     def _target_down(self):
-        """The target takes no connection, or is hung: give its shards up.
-
-        The lease is kept until every request in flight has ended: a target that only
-        closed its listening socket may still be at work on them. One that died has
-        cut them off already, so nothing is lost by the order. At a hung one they
-        are given up at once, and may still run when it goes on: it refuses to start
-        them after Start-By, and nothing bounds the end of what it had started.
+        """Release the shards of a target that is down or hung, and retire it.
+
+        The lease is kept until all requests in flight have ended, at most ``drain_s``
+        seconds: a target that only closed its listening socket may still run them. A
+        target that died has already cut them off, so they don't delay the release.
+        At a hung target, requests in flight are abandoned at once and may still run
+        when it resumes: it refuses to start them after Start-By, but nothing bounds
+        the end of those it had started.
         """
         hung = self.daemon.silence.hung
         reason = "its daemon found it hung" if hung else "its daemon found it down"
@@ -351,7 +353,9 @@
         epoch = self._lease.epoch()
         self._down.set()
         self._take_grants()
-        self._log.say("target is given up", reason=reason, epoch=epoch)
+        self._log.say(
+            "target down or hung, shards released", reason=reason, epoch=epoch
+        )
         end = _clock.boot_s() + settings.drain_s
         while self.daemon.in_flight_at_target() and _clock.boot_s() < end:
             self._stopping.wait(POLL_S)
@@ -365,7 +369,7 @@
         try:
             self._client.change(change, CALL_TIMEOUT_S)
         except TamarackhavenError as error:
-            # The lease is released; the group finds its end itself.
+            # The lease is released, and the control group detects its end by itself.
             self._log.say("retirement not confirmed", code=error.kind.value)
         self._down.clear()
         self._join_wanted.set()
@@ -378,9 +382,10 @@
             self._client.change(change, CALL_TIMEOUT_S)
 
     def leave(self):
-        """Leave in order: hand over all shards, finish what is in flight, stop.
+        """Leave the group: hand over all shards, finish requests in flight, stop.
 
-        Shards that nobody can take within ``drain_s`` are given up with the lease.
+        Shards that no other target can take within ``drain_s`` seconds are released
+        with the lease.
         """
         self._leaving.set()
         now = _clock.boot_s()
@@ -405,7 +410,7 @@
             self._stopping.wait(POLL_S)
 
     def stop(self):
-        """Stop everything this process started."""
+        """Stop all threads, servers and connections of this process."""
         self._stopping.set()
         self._join_wanted.set()
         self._fetch_wanted.set()
@@ -420,6 +425,6 @@
 
 
 def _first_membership(settings):
-    """Return the control VMs of the settings, until the map says who they are."""
+    """Return the control VMs of the settings, used until a state has arrived."""
     members = [Member(m.name, m.host, m.port, m.lease_port) for m in settings.control]
     return Membership(tuple(members))
--- a/tamarackhaven/_target_link.py
+++ b/tamarackhaven/_target_link.py
@@ -1,4 +1,4 @@
-"""What the target beside this daemon last said of itself, with its age."""
+"""The last announcement and report of the target beside this daemon."""
 
 import threading
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class Announcement:
-    """A target's first word after its start.
+    """The message that a target sends after its start.
 
     Parameters
     ----------
     incarnation : str
-        Differs after each start.
+        Identifies one start of the target; differs after each start.
     slots : int
-        Requests that it can run at once when warm.
+        Number of requests that it can run at once when warm.
     address : Address
-        Where it takes requests.
+        Address at which it accepts requests.
     """
 
     incarnation: str
@@ -29,16 +29,16 @@
 
 @attrs.frozen
 class LinkState:
-    """What is known of the target at one moment.
+    """The state of the target at one moment.
 
     Parameters
     ----------
     announcement : Announcement or None
-        None before the first.
+        The last announcement; None before the first.
     leaving : bool
-        It has begun to leave.
+        Whether it has begun to leave.
     report : TargetReport or None
-        Its last report, with its present age.
+        Its last report, with its current age in seconds.
     """
 
     announcement: Announcement | None
@@ -47,12 +47,12 @@
 
 
 class TargetLink:
-    """Keeps the last words of one target.
+    """Stores the last announcement and report of one target.
 
     Parameters
     ----------
     clock : Clock
-        Ages are counted in ``boot_s``.
+        Ages are computed from its ``boot_s``.
     """
 
     def __init__(self, clock):
@@ -64,12 +64,12 @@
         self._report_s = clock.boot_s()
 
     def is_new(self, announcement):
-        """Return whether an announcement is of another start than the last one."""
+        """Return whether an announcement comes from a new start of the target."""
         last = self._announcement
         return last is None or last.incarnation != announcement.incarnation
 
     def announce(self, announcement):
-        """Take in an announcement."""
+        """Store an announcement; one of a new start discards the old report."""
         with self._lock:
             if self.is_new(announcement):
                 self._leaving = False
@@ -77,18 +77,18 @@
             self._announcement = announcement
 
     def report(self, report):
-        """Take in a report."""
+        """Store a report."""
         with self._lock:
             self._report_s = self._clock.boot_s()
             self._report = report
 
     def leave(self):
-        """Note that the target has begun to leave."""
+        """Record that the target has begun to leave."""
         with self._lock:
             self._leaving = True
 
     def state(self):
-        """Return what is known now."""
+        """Return the current ``LinkState``."""
         with self._lock:
             now = self._clock.boot_s()
             report = self._report
@@ -99,7 +99,7 @@
 
 
 def report_from(plain):
-    """Return a report from the JSON object of a target, its age counted from now."""
+    """Return the ``TargetReport`` in a target's JSON object; its age is as of now."""
     return TargetReport(
         age_s=float(plain.get("age_s", 0.0)),
         running=int(plain["running"]),
@@ -111,7 +111,7 @@
 
 
 def announcement_from(plain):
-    """Return an announcement from the JSON object of a target."""
+    """Return the ``Announcement`` in a target's JSON object."""
     address = plain["address"]
     return Announcement(
         incarnation=str(plain["incarnation"]),
--- a/tamarackhaven/_target_probe.py
+++ b/tamarackhaven/_target_probe.py
@@ -1,14 +1,14 @@
-"""Notices that the target beside a daemon takes no connections any more."""
+"""Detects that the target beside a daemon no longer accepts connections."""
 
 import errno
 import socket
 import threading
 
-# A connection costs a daemon some 0.3 ms of processor time, and the target as much.
+# A connection costs the daemon and the target about 0.3 ms of processor time each.
 PROBE_EVERY_S = 0.25
 CONNECT_TIMEOUT_S = 0.5
-# One refusal may be a full backlog; two in a row, a tenth of a second apart on the
-# loopback interface, mean that nothing listens.
+# One refusal may be due to a full listen backlog; two in a row, a tenth of a second
+# apart on the loopback interface, mean that no process listens.
 REFUSALS_NEEDED = 2
 REFUSED_EVERY_S = 0.1
 
@@ -16,17 +16,17 @@
 class TargetProbe:
     """Connects to the target a few times a second while it is a member.
 
-    A refused connection means that no process listens; one that is slow but not
-    hung is left to the gate, which sees latency and reports.
+    A refused connection means that no process listens. The probe ignores a target that
+    is slow but not hung: the gate handles it by latency and reports.
 
     Parameters
     ----------
     address : Listen
-        Where the target takes requests.
+        Address at which the target accepts requests.
     on_down : callable
-        Called once per ``start``, on the probe's thread.
+        Called at most once per ``start``, on the probe's thread.
     is_hung : callable
-        Says whether the target, though it takes connections, is to be given up.
+        Returns whether the target accepts connections but must be treated as down.
     """
 
     def __init__(self, address, on_down, is_hung):
@@ -38,7 +38,7 @@
         self._thread = threading.Thread(target=self._run, name="probe", daemon=True)
 
     def is_up(self):
-        """Return whether something listens at the target's address."""
+        """Return whether a process listens at the target's address."""
         family = socket.AF_INET6 if ":" in self._address[0] else socket.AF_INET
         with socket.socket(family, socket.SOCK_STREAM) as probe:
             probe.settimeout(CONNECT_TIMEOUT_S)
@@ -48,7 +48,7 @@
                 return True
 
     def start(self):
-        """Watch the target from now on."""
+        """Start probing the target."""
         self._watching.set()
         if not self._thread.is_alive():
             self._thread.start()
--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -1,4 +1,4 @@
-"""A control VM that can't go on ends whole, and leaves no thread that answers."""
+"""Tests that a control VM with a fatal error exits and stops all its threads."""
 
 import socket
 import threading
@@ -32,10 +32,10 @@
 
 
 def test_a_failed_sync_ends_the_whole_process(settings, monkeypatch):
-    """A daemon renews its lease with a control VM whose disk has just failed.
+    """The disk of a control VM fails while daemons renew leases with it.
 
-    The sync of a change fails, and the member stops. Were the thread for leases to go
-    on, the process would not end, and would go on promising what it can't write down.
+    The sync of a change fails, and the member stops. If the lease thread kept running,
+    the process would not exit and would grant leases that it can't record.
     """
     files, ended = BrokenFiles(), []
     monkeypatch.setattr(_files, "Files", lambda: files)
@@ -56,13 +56,13 @@
             checked(client.change(PutResource("1", AvailabilityZone("a")), 2))
     finally:
         client.close()
-    wait_until(lambda: ended, WAIT_S, "the end of the process")
+    wait_until(lambda: ended, WAIT_S, "the process to end")
     assert ended[0].kind is ErrorKind.SYNC_FAILED
     assert_lease_port_is_free(settings)
 
 
 def test_a_taken_port_ends_the_whole_process(settings):
-    """Another process listens on the TCP port; the one for leases was still free."""
+    """If only the TCP port is taken, the lease port must be released as well."""
     with socket.socket() as taken:
         taken.bind((HOST, settings.members[0].port))
         taken.listen()
--- a/tests/test_daemon_process.py
+++ b/tests/test_daemon_process.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon's joining, with a control group that answers at once."""
+"""Tests of how a daemon joins, with a fake client of the control group."""
 
 import socket
 
@@ -17,7 +17,7 @@
 
 
 class FakeClient:
-    """Answers a join only once the daemon has read the map that it led to."""
+    """Answers a join only once the daemon has applied the resulting state."""
 
     def __init__(self, process):
         self.process = process
@@ -43,10 +43,10 @@
         return Outcome(member=member)
 
     def set_members(self, members):
-        """There is only this one."""
+        """Do nothing: there are no other members."""
 
     def close(self):
-        """Nothing is open."""
+        """Do nothing: no connection is open."""
 
 
 def owns(process, grant):
@@ -59,10 +59,10 @@
 
 
 def test_a_map_that_comes_before_the_answer_to_a_join_is_acted_on(tmp_path):
-    """A daemon joins again and keeps its shards under a new epoch.
+    """A daemon that joins again must keep its shards under the new epoch.
 
-    The map with that epoch is read before the answer to the join names it. Callers
-    heard MOVING from then on, as nobody looked at the map a second time.
+    The state with that epoch is applied before the answer to the join names the epoch.
+    When the state wasn't checked again after the answer, callers got MOVING.
     """
     target = socket.create_server(("127.0.0.1", 0))
     port = target.getsockname()[1]
