--- a/tamarackhaven/_announce_app.py
+++ b/tamarackhaven/_announce_app.py
@@ -13,27 +13,27 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 
-def announce_app(heard):
+def announce_app(handler):
     """Return the application.
 
     Parameters
     ----------
-    heard : object
+    handler : object
         Has ``announced(Announcement)``, ``reported(TargetReport)``, ``left()`` and
         ``state()``, which returns a JSON object.
     """
     action_by_path = {
-        "/announce": lambda plain: heard.announced(
-            _target_link.announcement_from(plain)
+        "/announce": lambda fields: handler.announced(
+            _target_link.parse_announcement(fields)
         ),
-        "/report": lambda plain: heard.reported(_target_link.report_from(plain)),
-        "/leaving": lambda plain: heard.left(),
+        "/report": lambda fields: handler.reported(_target_link.parse_report(fields)),
+        "/leaving": lambda fields: handler.left(),
     }
 
     def app(environ, start_response):
         raw = raw_request(environ)
         try:
-            answer = _answer(raw, action_by_path, heard)
+            answer = _answer(raw, action_by_path, handler)
         except TamarackhavenError as error:
             answer = answer_error(error)
         return respond(answer, start_response)
@@ -41,16 +41,16 @@
     return app
 
 
-def _answer(raw, action_by_path, heard):
+def _answer(raw, action_by_path, handler):
     action = action_by_path.get(raw.target)
     if action is None or raw.method != "POST":
-        wanted = ", ".join(f"POST {path}" for path in action_by_path)
-        raise TamarackhavenError(ErrorKind.NOT_FOUND, f"Try {wanted}.")
+        allowed = ", ".join(f"POST {path}" for path in action_by_path)
+        raise TamarackhavenError(ErrorKind.NOT_FOUND, f"Try {allowed}.")
     try:
         action(json.loads(raw.body or b"{}"))
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise TamarackhavenError(
             ErrorKind.MALFORMED_REQUEST, f"{raw.target}: {error!r}."
         ) from error
-    body = json.dumps(heard.state(), sort_keys=True).encode() + b"\n"
+    body = json.dumps(handler.state(), sort_keys=True).encode() + b"\n"
     return HttpAnswer(200, (("Content-Type", "application/json"),), body)
--- a/tamarackhaven/_control.py
+++ b/tamarackhaven/_control.py
@@ -9,7 +9,7 @@
 
 from tamarackhaven import _clock
 from tamarackhaven._consensus import Consensus
-from tamarackhaven._control_services import ControlService, PeerService, Versions
+from tamarackhaven._control_services import ControlService, PeerService, VersionWaiters
 from tamarackhaven._fences import FenceFile
 from tamarackhaven._leader import LeaderDuties
 from tamarackhaven._lease_promises import LeasePromises, LeaseView
@@ -59,10 +59,10 @@
         self._storage = Storage.open(folder)
         self._on_fatal = on_fatal
         self._fences = FenceFile.open(folder, must_exist=not self._storage.is_new)
-        self._fencing = concurrent.futures.ThreadPoolExecutor(FENCE_THREADS)
+        self._fence_executor = concurrent.futures.ThreadPoolExecutor(FENCE_THREADS)
         self._loop = LoopThread("control")
         self.machine = Machine(membership)
-        self._zone_out_since = {}
+        self._zone_out_at_by_name = {}
         self._promises = LeasePromises(
             settings.lease,
             _clock.boot_s(),
@@ -96,15 +96,15 @@
             _clock,
             log,
         )
-        self._versions = Versions(self.machine, self._loop.loop)
-        self.machine.on_applied(self._applied)
+        self._version_waiters = VersionWaiters(self.machine, self._loop.loop)
+        self.machine.on_applied(self._state_applied)
         self._was_voter = self._is_voter(membership)
         self._server = None
         self.metrics = Metrics()
         self.metrics.add_source(self._gauges)
-        self._page = self._open_page()
+        self._metrics_server = self._open_metrics_server()
 
-    def _open_page(self):
+    def _open_metrics_server(self):
         try:
             return metrics_server(self.metrics, self._settings.metrics)
         except TamarackhavenError:
@@ -114,7 +114,7 @@
 
     def _gauges(self):
         status = self.consensus.status()
-        numbers = {
+        value_by_gauge = {
             "term": status.term,
             "commit": status.commit,
             "applied": status.applied,
@@ -122,7 +122,7 @@
             "syncs": self._storage.sync_count,
             "decisions": len(self.machine.state.decisions.all()),
         }
-        for name, value in numbers.items():
+        for name, value in value_by_gauge.items():
             self.metrics.gauge(f"tamarackhaven_control_{name}", value)
         for reason, count in self.leases.answers_by_reason.items():
             self.metrics.gauge(
@@ -139,19 +139,19 @@
         """
         self.consensus.start()
         self.leader.start()
-        self._page.start()
+        self._metrics_server.start()
         self._loop.call(self._listen(), CALL_TIMEOUT_S)
         self._log.say("started", member=self._settings.name)
 
     async def _listen(self):
         services = [
-            PeerService(self.consensus, self._fence, self._fencing),
+            PeerService(self.consensus, self._fence, self._fence_executor),
             ControlService(
                 self.consensus,
                 self.machine,
                 self.peers,
                 self.leader,
-                self._versions,
+                self._version_waiters,
             ),
         ]
         server = Server(services)
@@ -176,23 +176,23 @@
         fenced = self.leases.fence(service, target, epoch)
         return FenceAnswer(fenced.ok, fenced.remaining_ms / 1000)
 
-    def _applied(self, version):
+    def _state_applied(self, version):
         membership = self.machine.membership
         if membership.version == version:
             self._membership_applied(membership)
         for zone in self.machine.state.zones:
             if zone.state is ZoneState.OUT:
-                self._zone_out_since.setdefault(zone.name, _clock.boot_s())
+                self._zone_out_at_by_name.setdefault(zone.name, _clock.boot_s())
             else:
-                self._zone_out_since.pop(zone.name, None)
+                self._zone_out_at_by_name.pop(zone.name, None)
         self.leases.hint(version)
 
     def _membership_applied(self, membership):
         self.peers.set_membership(membership)
         self.leases.membership_changed()
-        self._note_voter(membership)
+        self._update_voter(membership)
 
-    def _note_voter(self, membership):
+    def _update_voter(self, membership):
         is_voter = self._is_voter(membership)
         if is_voter and not self._was_voter:
             self.leases.joined()
@@ -207,11 +207,11 @@
         # majority could still grant leases under a membership whose successor is
         # already committed.
         membership = self.consensus.status().membership
-        self._note_voter(membership)
+        self._update_voter(membership)
         with self.machine.lock:
             member = self.machine.state.member_by_epoch(epoch)
             version = self.machine.version
-            zone_out = member is not None and self._is_out(member.zone)
+            zone_out = member is not None and self._is_zone_past_grace(member.zone)
         return LeaseView(
             membership_version=membership.version,
             state_version=version,
@@ -221,7 +221,7 @@
             zone_out=zone_out,
         )
 
-    def _is_out(self, zone):
+    def _is_zone_past_grace(self, zone):
         """Return whether a zone has been out for longer than its targets are served.
 
         Renewals continue for a grace period, so that a daemon that receives the change
@@ -230,20 +230,20 @@
         receive the change later, and would otherwise be refused just before they
         report that they are draining.
         """
-        since = self._zone_out_since.get(zone)
+        out_at = self._zone_out_at_by_name.get(zone)
         lease = self._settings.lease
         grace_s = (lease.zone_grace_ms + lease.lease_ms) / 1000
-        return since is not None and _clock.boot_s() - since >= grace_s
+        return out_at is not None and _clock.boot_s() - out_at >= grace_s
 
     def stop(self):
         """Stop all threads, servers and connections of this member."""
         self.leader.stop()
-        self._page.stop()
+        self._metrics_server.stop()
         self._loop.call(self._close(), CALL_TIMEOUT_S)
         self.consensus.stop()
         self.leases.stop()
         self.peers.close()
-        self._fencing.shutdown()
+        self._fence_executor.shutdown()
         self._loop.stop()
         self._storage.close()
         self._log.say("stopped", member=self._settings.name)
@@ -254,8 +254,8 @@
 
 
 def _own_member(settings):
-    by_name = {member.name: member for member in settings.members}
-    return by_name[settings.name]
+    member_by_name = {member.name: member for member in settings.members}
+    return member_by_name[settings.name]
 
 
 def _first_membership(settings):
--- a/tamarackhaven/_control_client.py
+++ b/tamarackhaven/_control_client.py
@@ -20,8 +20,8 @@
 # Fraction of the caller's timeout for one attempt, so that a control VM that accepts
 # the connection but doesn't answer (frozen, or cut off in one direction) leaves time to
 # try the next one.
-TRY_PART = 0.4
-PAUSE_S = 0.05
+ATTEMPT_TIMEOUT_FRACTION = 0.4
+RETRY_INTERVAL_S = 0.05
 CALL_FAILURES = (
     GRPCError,
     ProtocolError,
@@ -57,7 +57,7 @@
         self._loop = LoopThread("control-client")
         self._channel_by_address = {}
         self._members = list(members)
-        self._preferred = 0
+        self._member_index = 0
 
     def set_members(self, members):
         """Call these control VMs from now on; an empty list changes nothing."""
@@ -78,34 +78,34 @@
         """
         request = pb.ChangeRequest(change=_codec.dumps(change, Change))
 
-        async def call(stub, try_s):
-            request.timeout_ms = max(1, int(try_s * 1000))
-            reply = await stub.Change(request, timeout=try_s)
+        async def call(stub, attempt_timeout_s):
+            request.timeout_ms = max(1, int(attempt_timeout_s * 1000))
+            reply = await stub.Change(request, timeout=attempt_timeout_s)
             outcome = _codec.loads(reply.outcome, Outcome)
-            return None if _passing(outcome.code) else outcome
+            return None if _is_retryable(outcome.code) else outcome
 
-        return self._until_answered(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
+        return self._call_any_member(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def change_membership(self, step, timeout_s):
         """Add, promote or remove a member of the group; return the ``Outcome``."""
         request = pb.MembershipRequest(step=_codec.dumps(step, Step))
 
-        async def call(stub, try_s):
-            request.timeout_ms = max(1, int(try_s * 1000))
-            reply = await stub.Membership(request, timeout=try_s)
+        async def call(stub, attempt_timeout_s):
+            request.timeout_ms = max(1, int(attempt_timeout_s * 1000))
+            reply = await stub.Membership(request, timeout=attempt_timeout_s)
             outcome = _codec.loads(reply.outcome, Outcome)
-            return None if _passing(outcome.code) else outcome
+            return None if _is_retryable(outcome.code) else outcome
 
-        return self._until_answered(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
+        return self._call_any_member(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def fetch(self, from_version, timeout_s, linearizable=False):
         """Return the ``Feed`` since a version; a linearizable one is the leader's."""
         request = pb.FetchRequest(from_version=from_version, linearizable=linearizable)
 
-        async def call(stub, try_s):
-            return _feed(await stub.Fetch(request, timeout=try_s))
+        async def call(stub, attempt_timeout_s):
+            return _feed(await stub.Fetch(request, timeout=attempt_timeout_s))
 
-        return self._until_answered(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
+        return self._call_any_member(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
 
     def explain(self, service, key, decision_id, limit, timeout_s):
         """Return recorded decisions, newest first."""
@@ -113,20 +113,20 @@
             service=service, key=key, decision_id=decision_id, limit=limit
         )
 
-        async def call(stub, try_s):
-            reply = await stub.Explain(request, timeout=try_s)
+        async def call(stub, attempt_timeout_s):
+            reply = await stub.Explain(request, timeout=attempt_timeout_s)
             return _codec.loads(reply.decisions, list[Decision])
 
-        return self._until_answered(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
+        return self._call_any_member(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
 
     def report(self, report, timeout_s):
         """Send a ``LoadReport``, which the control VM forwards to the leader."""
         request = pb.ReportRequest(report=_codec.dumps(report, LoadReport))
 
-        async def call(stub, try_s):
-            return await stub.Report(request, timeout=try_s)
+        async def call(stub, attempt_timeout_s):
+            return await stub.Report(request, timeout=attempt_timeout_s)
 
-        self._until_answered(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
+        self._call_any_member(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
 
     def status(self, member, timeout_s):
         """Return the ``MemberStatus`` of one control VM.
@@ -170,13 +170,13 @@
                 yield feed
 
     def _next_feed(self, version, timeout_s):
-        wait_s = timeout_s * TRY_PART / 2
+        wait_s = timeout_s * ATTEMPT_TIMEOUT_FRACTION / 2
         request = pb.FetchRequest(from_version=version, wait_ms=int(wait_s * 1000))
 
-        async def call(stub, try_s):
-            return _feed(await stub.Fetch(request, timeout=try_s))
+        async def call(stub, attempt_timeout_s):
+            return _feed(await stub.Fetch(request, timeout=attempt_timeout_s))
 
-        return self._until_answered(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
+        return self._call_any_member(call, timeout_s, ErrorKind.CONTROL_UNREACHABLE)
 
     def close(self):
         """Close all connections."""
@@ -188,37 +188,40 @@
         self._loop.call(close(), 5)
         self._loop.stop()
 
-    def _until_answered(self, call, timeout_s, unanswered):
+    def _call_any_member(self, call, timeout_s, failure_kind):
         try:
             return self._loop.call(
-                self._try_members(call, timeout_s, unanswered), timeout_s + 5
+                self._try_members(call, timeout_s, failure_kind), timeout_s + 5
             )
         except TimeoutError as error:
-            raise TamarackhavenError(unanswered, "No control VM answered.") from error
+            raise TamarackhavenError(failure_kind, "No control VM answered.") from error
 
-    async def _try_members(self, call, timeout_s, unanswered):
+    async def _try_members(self, call, timeout_s, failure_kind):
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout_s
-        last = "No control VM answered."
-        tried = 0
-        while (left := end - loop.time()) > 0:
-            tried += 1
+        deadline_s = loop.time() + timeout_s
+        last_error = "No control VM answered."
+        attempts = 0
+        while (remaining_s := deadline_s - loop.time()) > 0:
+            attempts += 1
             members = self._members
-            member = members[self._preferred % len(members)]
-            try_s = min(left, max(timeout_s * TRY_PART, 0.05))
+            member = members[self._member_index % len(members)]
+            attempt_timeout_s = min(
+                remaining_s, max(timeout_s * ATTEMPT_TIMEOUT_FRACTION, 0.05)
+            )
             try:
                 answer = await asyncio.wait_for(
-                    call(ControlStub(self._channel(member)), try_s), try_s
+                    call(ControlStub(self._channel(member)), attempt_timeout_s),
+                    attempt_timeout_s,
                 )
                 if answer is not None:
                     return answer
-                last = f"{member.name} has no leader."
+                last_error = f"{member.name} has no leader."
             except CALL_FAILURES as error:
-                last = f"{member.name}: {type(error).__name__} {error}"
-            self._preferred += 1
-            if tried % len(members) == 0:
-                await asyncio.sleep(PAUSE_S)
-        raise TamarackhavenError(unanswered, last)
+                last_error = f"{member.name}: {type(error).__name__} {error}"
+            self._member_index += 1
+            if attempts % len(members) == 0:
+                await asyncio.sleep(RETRY_INTERVAL_S)
+        raise TamarackhavenError(failure_kind, last_error)
 
     def _channel(self, member):
         address = member.host, member.port
@@ -233,6 +236,6 @@
     return Feed(reply.version, reply.snapshot, PackedEvents(reply.events))
 
 
-def _passing(code):
+def _is_retryable(code):
     """Return whether a retry at any control VM may give another outcome."""
     return code in (ErrorKind.NO_QUORUM.value, ErrorKind.CHANGE_UNCONFIRMED.value)
--- a/tamarackhaven/_control_process.py
+++ b/tamarackhaven/_control_process.py
@@ -25,10 +25,10 @@
     open_logs(settings.logs, folder)
     log = Log("control", settings.logs.repeats_per_minute)
     _check_first_start(settings, folder, first_start)
-    fatal = []
+    fatal_errors = []
 
     def on_fatal(error):
-        fatal.append(error)
+        fatal_errors.append(error)
         stop.set()
 
     control = Control(settings, log, on_fatal)
@@ -41,9 +41,9 @@
         # leases. After a failed sync the log is already closed, so ``stop`` writes
         # nothing more.
         control.stop()
-    if fatal:
-        log.say("stopped after a fatal error", error=str(fatal[0]))
-        raise fatal[0]
+    if fatal_errors:
+        log.say("stopped after a fatal error", error=str(fatal_errors[0]))
+        raise fatal_errors[0]
 
 
 def _check_first_start(settings, folder, first_start):
--- a/tamarackhaven/_control_services.py
+++ b/tamarackhaven/_control_services.py
@@ -18,8 +18,8 @@
 from tamarackhaven._wire_grpc import ControlBase, PeerBase
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-WAIT_MS_MAX = 30_000
-EXPLAIN_LIMIT_MAX = 500
+MAX_WAIT_MS = 30_000
+MAX_EXPLAIN_DECISIONS = 500
 
 
 class PeerService(PeerBase):
@@ -59,39 +59,39 @@
         )
 
 
-class Versions:
+class VersionWaiters:
     """Lets coroutines wait until a newer version is applied."""
 
     def __init__(self, machine, loop):
         self._machine = machine
         self._loop = loop
-        self._waiting = set()
+        self._futures = set()
         machine.on_applied(self._applied)
 
     def _applied(self, version):
-        if self._waiting:
+        if self._futures:
             self._loop.call_soon_threadsafe(self._wake)
 
     def _wake(self):
-        for future in self._waiting:
+        for future in self._futures:
             if not future.done():
                 future.set_result(None)
-        self._waiting.clear()
+        self._futures.clear()
 
-    async def newer_than(self, version, timeout_s):
+    async def wait_for_newer(self, version, timeout_s):
         """Return once a newer version is applied, or after ``timeout_s`` seconds."""
-        end = self._loop.time() + timeout_s
+        deadline_s = self._loop.time() + timeout_s
         while self._machine.version <= version:
-            left = end - self._loop.time()
-            if left <= 0:
+            remaining_s = deadline_s - self._loop.time()
+            if remaining_s <= 0:
                 return
             future = self._loop.create_future()
-            self._waiting.add(future)
+            self._futures.add(future)
             # An entry that was applied before the line above has not woken this future.
             if self._machine.version > version:
                 return
-            await asyncio.wait([future], timeout=left)
-            self._waiting.discard(future)
+            await asyncio.wait([future], timeout=remaining_s)
+            self._futures.discard(future)
 
 
 class ControlService(ControlBase):
@@ -107,17 +107,17 @@
         Connections to the other members, among them the leader.
     leader : LeaderDuties
         The leader's state outside the log: load reports and silent targets.
-    versions : Versions
+    version_waiters : VersionWaiters
         Wakes watchers when a version is applied.
     """
 
-    def __init__(self, consensus, machine, peers, leader, versions):
+    def __init__(self, consensus, machine, peers, leader, version_waiters):
         self._consensus = consensus
         self._machine = machine
         self._peers = peers
         self._leader = leader
-        self._versions = versions
-        self._newest = None, b""
+        self._version_waiters = version_waiters
+        self._packed_cache = None, b""
 
     async def Change(self, stream):  # noqa: N802
         """Commit a change; a follower forwards it to the leader once."""
@@ -143,20 +143,20 @@
         except Exception as error:
             return _outcome(ErrorKind.INVALID_RESOURCE, _first_line(error))
         try:
-            change = self._named(change)
+            change = self._checked_change(change)
             command = encode_command(Command(change, unix_s()))
-            return await self._committed(
+            return await self._wait_committed(
                 self._consensus.propose(command), request.timeout_ms
             )
         except TamarackhavenError as error:
             return _outcome(error.kind, error.detail)
 
-    def _named(self, change):
+    def _checked_change(self, change):
         if isinstance(change, JoinTarget):
             return self._leader.checked_join(change)
         return change
 
-    async def _committed(self, future, timeout_ms):
+    async def _wait_committed(self, future, timeout_ms):
         try:
             return await asyncio.wait_for(
                 asyncio.wrap_future(future), timeout_ms / 1000
@@ -176,7 +176,7 @@
         try:
             step = _codec.loads(request.step, Step)
             self._leader.check_membership_step(step)
-            await self._committed(
+            await self._wait_committed(
                 self._consensus.change_membership(step), request.timeout_ms
             )
             outcome = Outcome(version=self._machine.version)
@@ -195,9 +195,9 @@
                 await stream.send_message(await leader.Fetch(request))
                 return
             await self._read_barrier()
-        wait_s = min(request.wait_ms, WAIT_MS_MAX) / 1000
+        wait_s = min(request.wait_ms, MAX_WAIT_MS) / 1000
         if wait_s:
-            await self._versions.newer_than(request.from_version, wait_s)
+            await self._version_waiters.wait_for_newer(request.from_version, wait_s)
         await stream.send_message(self._reply(request.from_version))
 
     async def _read_barrier(self):
@@ -209,10 +209,10 @@
     def _reply(self, from_version):
         feed = self._machine.feed(from_version)
         return pb.FetchReply(
-            version=feed.version, snapshot=feed.snapshot, events=self._packed(feed)
+            version=feed.version, snapshot=feed.snapshot, events=self._pack_events(feed)
         )
 
-    def _packed(self, feed):
+    def _pack_events(self, feed):
         """Return the feed's events as bytes, cached for the newest feed.
 
         1,500 daemons fetch the same change within a moment. Packed for each of them,
@@ -222,10 +222,10 @@
         if not feed.events:
             return b""
         first, last = feed.events[0], feed.events[-1]
-        known = feed.version, feed.snapshot, len(feed.events), first, last
-        if self._newest[0] != known:
-            self._newest = known, pack(feed.events)
-        return self._newest[1]
+        cache_key = feed.version, feed.snapshot, len(feed.events), first, last
+        if self._packed_cache[0] != cache_key:
+            self._packed_cache = cache_key, pack(feed.events)
+        return self._packed_cache[1]
 
     async def Explain(self, stream):  # noqa: N802
         """Answer recorded decisions; only the leader has those against a move."""
@@ -235,15 +235,15 @@
             with contextlib.suppress(*CALL_FAILURES):
                 await stream.send_message(await leader.Explain(request, timeout=1))
                 return
-        decisions = self._explain(request)
+        decisions = self._find_decisions(request)
         await stream.send_message(
             pb.ExplainReply(decisions=_codec.dumps(decisions, list[Decision]))
         )
 
-    def _explain(self, request):
-        limit = min(request.limit or 50, EXPLAIN_LIMIT_MAX)
+    def _find_decisions(self, request):
+        limit = min(request.limit or 50, MAX_EXPLAIN_DECISIONS)
         with self._machine.lock:
-            shard = self._shard(request.service, request.key)
+            shard = self._shard_of_key(request.service, request.key)
             found = self._machine.state.decisions.find(
                 request.service, shard, request.decision_id, limit
             )
@@ -253,7 +253,7 @@
         newest_first = sorted(found + refused, key=lambda d: -d.at_unix_s)
         return newest_first[:limit]
 
-    def _shard(self, service, key):
+    def _shard_of_key(self, service, key):
         resource = self._machine.state.resource("Service", service)
         if resource is None or not key:
             return None
--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -63,7 +63,7 @@
     on_target : callable or None
         Called with the ``LinkState`` when the target has announced itself, restarted
         or begun to leave.
-    take_ledger : callable or None
+    on_ledger_part : callable or None
         Called with the bytes of a ledger part from another daemon.
 
     Notes
@@ -81,7 +81,7 @@
         log,
         clock,
         on_target=None,
-        take_ledger=None,
+        on_ledger_part=None,
     ):
         self.settings = settings
         self.ledger = Ledger(settings.bookings)
@@ -95,12 +95,12 @@
         self._on_target = on_target or (lambda state: None)
         self._lock = threading.Lock()
         self._announce_lock = threading.Lock()
-        self._target = self._given_up = None
-        self._draining = False
+        self._target = self._hung_target = None
+        self._is_draining = False
         self._zone = ZoneState.IN
         self._confirmed_s = clock.boot_s()
         self.seen_load = SeenLoad(clock)
-        self._grants = Grants(_Locked(self.ledger, self.ledger_lock), clock)
+        self._grants = Grants(_LockedLedger(self.ledger, self.ledger_lock), clock)
         self._forwarder = Forwarder(2 * settings.threads)
         self._canceller = Canceller()
         owner = Owner(
@@ -110,7 +110,7 @@
             self._grants,
             self.ledger,
             self.ledger_lock,
-            self._present_target,
+            self._current_target,
             self._canceller,
             clock,
             self.seen_load.note,
@@ -118,7 +118,7 @@
         )
         self.path = self._make_path(view, owner, log.part("path"))
         self._servers = []
-        self._open_ports(take_ledger or _no_ledger)
+        self._open_ports(on_ledger_part or _refuse_ledger_part)
 
     def _make_path(self, view, owner, log):
         settings, metrics, clock = self.settings, self._metrics, self._clock
@@ -142,14 +142,14 @@
             view, exclusive, self._shared, self.standing, metrics, log, clock
         )
 
-    def _open_ports(self, take_ledger):
+    def _open_ports(self, on_ledger_part):
         settings = self.settings
         try:
             self.caller = self._serve(
                 caller_app(self.path), settings.caller, settings.threads, "caller"
             )
             self.peer = self._serve(
-                peer_app(self.path, take_ledger),
+                peer_app(self.path, on_ledger_part),
                 settings.peer,
                 settings.threads,
                 "peer",
@@ -190,16 +190,18 @@
         requests ended within ``drain_s`` seconds.
         """
         with self._lock:
-            self._draining = True
+            self._is_draining = True
             target = self._target
         for server in self._servers:
             server.close_after_answers()
         if target is not None:
             target.admission.stop(ErrorKind.DRAINING)
         self._log.say("draining")
-        done = self.path.wait_idle(self.settings.drain_s)
-        self._log.say("drained" if done else "requests still in flight after drain_s")
-        return done
+        is_idle = self.path.wait_idle(self.settings.drain_s)
+        self._log.say(
+            "drained" if is_idle else "requests still in flight after drain_s"
+        )
+        return is_idle
 
     def stop(self):
         """Close all ports and connections, and abort requests in flight."""
@@ -209,7 +211,7 @@
         self._canceller.close()
         with self._lock:
             target, self._target = self._target, None
-        _end(target)
+        _close_target(target)
         self._log.say("stopped")
 
     def _stop_servers(self):
@@ -284,15 +286,15 @@
         """
         _check_address(announcement.address, self.settings.target_address)
         with self._announce_lock:
-            new = self.link.is_new(announcement)
-            if new:
+            is_new_start = self.link.is_new(announcement)
+            if is_new_start:
                 self.silence.started(self._clock.boot_s())
                 self._replace_target(announcement)
             else:
                 self.silence.heard(self._clock.boot_s())
             # Last, so that a reader of the new link state finds the new gate in place.
             self.link.announce(announcement)
-        if not new:
+        if not is_new_start:
             return
         self._log.say("target announced itself", incarnation=announcement.incarnation)
         self._on_target(self.link.state())
@@ -321,22 +323,22 @@
         """Refuse requests queued for a hung target; ``Owner`` ends those in flight."""
         target = self._target
         if target is not None:
-            self._given_up = target
+            self._hung_target = target
             # The queued requests did not run, so the next owner may run them.
             target.admission.stop(ErrorKind.MOVING)
 
     def take_target_back(self):
         """Admit requests again to a target that was hung and now responds."""
-        given_up, self._given_up = self._given_up, None
-        leaving = self._draining or self.link.state().leaving
-        if given_up is not None and given_up is self._target and not leaving:
-            given_up.admission.open(cold=False)
+        hung_target, self._hung_target = self._hung_target, None
+        is_leaving = self._is_draining or self.link.state().leaving
+        if hung_target is not None and hung_target is self._target and not is_leaving:
+            hung_target.admission.open(cold=False)
 
     def state(self):
         """Return the daemon's state for the target, as a JSON object."""
         now = self._clock.boot_s()
         return {
-            "draining": self._draining,
+            "draining": self._is_draining,
             "zone": self._zone.value,
             "lease_held": self._lease.holds(now),
         }
@@ -346,7 +348,7 @@
         return Standing(
             service=self.settings.service,
             target=self.settings.target,
-            draining=self._draining or self.link.state().leaving,
+            draining=self._is_draining or self.link.state().leaving,
             zone=self._zone,
             confirmed_s=self._confirmed_s,
         )
@@ -354,8 +356,8 @@
     def _replace_target(self, announcement):
         target = self._make_target(announcement)
         with self._lock:
-            last, self._target = self._target, target
-        _end(last)
+            previous, self._target = self._target, target
+        _close_target(previous)
 
     def _make_target(self, announcement):
         gate = Gate(
@@ -365,13 +367,13 @@
             random.Random(),
         )
         admission = Admission(gate, self._clock)
-        if self._draining:
+        if self._is_draining:
             admission.stop(ErrorKind.DRAINING)
         address = announcement.address
         limit = self.settings.gate.max_connections
         return _Target(admission, Connections(address.host, address.port, limit))
 
-    def _present_target(self):
+    def _current_target(self):
         target = self._target
         if target is None:
             raise TamarackhavenError(
@@ -381,7 +383,7 @@
 
 
 @attrs.frozen
-class _Locked:
+class _LockedLedger:
     """The ledger's methods for shard ownership, called under its lock."""
 
     ledger: Ledger
@@ -416,8 +418,8 @@
     TamarackhavenError
         ADDRESS_MISMATCH, naming both addresses.
     """
-    same_port = expected.port in (0, announced.port)
-    if announced.host != expected.host or not same_port:
+    is_same_port = expected.port in (0, announced.port)
+    if announced.host != expected.host or not is_same_port:
         raise TamarackhavenError(
             ErrorKind.ADDRESS_MISMATCH,
             f"{announced.host}:{announced.port} was announced, "
@@ -425,7 +427,7 @@
         )
 
 
-def _end(target):
+def _close_target(target):
     """Refuse requests queued for an earlier target start; close its connections."""
     if target is None:
         return
@@ -434,7 +436,7 @@
     target.connections.close()
 
 
-def _no_ledger(body):
+def _refuse_ledger_part(body):
     raise TamarackhavenError(
         ErrorKind.NOT_FOUND, "This daemon accepts no ledger parts."
     )
--- a/tamarackhaven/_daemon_process.py
+++ b/tamarackhaven/_daemon_process.py
@@ -23,15 +23,15 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 CALL_TIMEOUT_S = 3.0
-RETRY_S = 0.1
-JOIN_PAUSE_S = 2.0
+RETRY_INTERVAL_S = 0.1
+MIN_JOIN_INTERVAL_S = 2.0
 # Also without a fetch, the time of the last confirmation of the state is passed on at
 # this interval, which is well within ``stale_s``.
-TURN_S = 0.5
-POLL_S = 0.02
+CONFIRM_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.02
 
 
-class OwnLease:
+class LeaseAdapter:
     """The lease interface that the request path uses."""
 
     def __init__(self, client):
@@ -73,21 +73,21 @@
         self._instance = uuid.uuid4().hex
         self._client = ControlClient(settings.control)
         self._view = View()
-        self._parts = ArrivedParts()
+        self._arrived_parts = ArrivedParts()
         self._pace = FetchPace()
-        self._fetch_wanted = threading.Event()
-        self._join_wanted = threading.Event()
+        self._fetch_requested = threading.Event()
+        self._join_requested = threading.Event()
         self._leaving = threading.Event()
         self._stopping = threading.Event()
-        self._down = threading.Event()
+        self._releasing = threading.Event()
         self._incarnation = ""
-        self._joined_at = -JOIN_PAUSE_S
+        self._joined_at = -MIN_JOIN_INTERVAL_S
         self._grants_lock = threading.Lock()
-        self._zone_out_since = None
+        self._zone_out_at = None
         self._lease = LeaseClient(
             settings.lease,
             _first_membership(settings),
-            on_version=lambda version: self._fetch_wanted.set(),
+            on_version=lambda version: self._fetch_requested.set(),
             on_must_rejoin=self._must_rejoin,
         )
         self.daemon = self._open_daemon()
@@ -101,11 +101,11 @@
         )
         self._reports = LoadReports(settings, self.daemon, self._client, self._lease)
         self._probe = TargetProbe(
-            settings.target_address, self._target_down, self._target_is_hung
+            settings.target_address, self._release_target, self._target_is_hung
         )
         self._threads = [
-            threading.Thread(target=self._keep_map, name="map", daemon=True),
-            threading.Thread(target=self._keep_joined, name="join", daemon=True),
+            threading.Thread(target=self._run_fetches, name="map", daemon=True),
+            threading.Thread(target=self._run_joins, name="join", daemon=True),
         ]
 
     def _open_daemon(self):
@@ -115,12 +115,12 @@
             return Daemon(
                 self._settings,
                 self._view,
-                OwnLease(self._lease),
+                LeaseAdapter(self._lease),
                 metrics,
                 self._log,
                 _clock,
                 on_target=self._target_changed,
-                take_ledger=self._parts.take,
+                on_ledger_part=self._arrived_parts.take,
             )
         except TamarackhavenError:
             # The threads of both would keep the process running.
@@ -140,32 +140,32 @@
         self.daemon.start()
         self._handover.start()
         self._reports.start()
-        self._fetch_wanted.set()
+        self._fetch_requested.set()
         for thread in self._threads:
             thread.start()
         self._log.say("started", instance=self._instance, pid=os.getpid())
 
     # --- state of the control group ---------------------------------------------
 
-    def _keep_map(self):
+    def _run_fetches(self):
         while not self._stopping.is_set():
-            is_wanted = self._fetch_wanted.wait(self._turn_s())
-            self._fetch_wanted.clear()
+            is_requested = self._fetch_requested.wait(self._fetch_wait_s())
+            self._fetch_requested.clear()
             try:
-                if is_wanted or self._fetch_is_due():
+                if is_requested or self._fetch_is_due():
                     self._fetch()
-                if self._zone_out_since is not None:
+                if self._zone_out_at is not None:
                     self._zone_changed(ZoneState.OUT)
             except TamarackhavenError as error:
                 self._log.say("map not fetched", code=error.kind.value)
             except Exception as error:
                 self._log.say("map not applied", error=repr(error))
-                self._stopping.wait(RETRY_S)
+                self._stopping.wait(RETRY_INTERVAL_S)
             self.daemon.on_confirmed(self._lease.confirmed_at())
 
-    def _turn_s(self):
-        is_waiting = self._is_behind() or self._zone_out_since is not None
-        return FETCH_RETRY_S if is_waiting else TURN_S
+    def _fetch_wait_s(self):
+        is_waiting = self._is_behind() or self._zone_out_at is not None
+        return FETCH_RETRY_S if is_waiting else CONFIRM_INTERVAL_S
 
     def _is_behind(self):
         return self._view.version < self._lease.newest_version()
@@ -179,8 +179,8 @@
         )
 
     def _fetch(self):
-        asked_at = _clock.boot_s()
-        self._pace.asked(asked_at)
+        requested_at = _clock.boot_s()
+        self._pace.asked(requested_at)
         feed = self._client.fetch(self._view.version, CALL_TIMEOUT_S)
         if feed.version < self._view.version:
             # From a control VM that lags: older than the state already applied.
@@ -188,11 +188,11 @@
         if self._lease.needs_epoch():
             # Without a lease, only the fetch itself confirms the state. Such a daemon
             # owns no shards and only forwards.
-            self.daemon.on_confirmed(asked_at)
+            self.daemon.on_confirmed(requested_at)
         if self._view.apply(feed):
-            self._applied()
+            self._state_applied()
 
-    def _applied(self):
+    def _state_applied(self):
         view, settings = self._view, self._settings
         if view.membership.members:
             self._client.set_members(view.membership.members)
@@ -200,11 +200,11 @@
         zone = view.resource("AvailabilityZone", settings.zone)
         if zone is not None:
             self._zone_changed(zone.state)
-        self._take_grants()
+        self._update_grants()
         # Last, as a renewal with this version confirms that it has been applied.
         self._lease.set_state_version(view.version)
         self._handover.changed()
-        self._check_epoch()
+        self._rejoin_if_replaced()
 
     def _zone_changed(self, state):
         """Set the zone's state; requests are refused a grace period after it goes out.
@@ -215,17 +215,17 @@
         requests here.
         """
         if state is ZoneState.IN:
-            self._zone_out_since = None
-        elif self._zone_out_since is None:
-            self._zone_out_since = _clock.boot_s()
-        since = self._zone_out_since
+            self._zone_out_at = None
+        elif self._zone_out_at is None:
+            self._zone_out_at = _clock.boot_s()
+        out_at = self._zone_out_at
         settings = self._settings
         owns = bool(self._view.owned_by(settings.service, settings.target))
-        if since is None or not owns or _clock.boot_s() - since >= self._grace_s:
+        if out_at is None or not owns or _clock.boot_s() - out_at >= self._grace_s:
             self.daemon.on_zone(state)
             self._lease.set_draining(state is ZoneState.OUT)
 
-    def _take_grants(self):
+    def _update_grants(self):
         """Own the shards that the state grants to the epoch of the lease.
 
         Called when either the state or the epoch changes, as they arrive in any order.
@@ -234,28 +234,30 @@
         answer MOVING for them until the next change of the state.
         """
         with self._grants_lock:
-            self._replace_grants()
+            self._update_grants_locked()
 
-    def _replace_grants(self):
+    def _update_grants_locked(self):
         settings = self._settings
         owned = self._view.owned_by(settings.service, settings.target)
-        mine = [grant for grant in owned if grant.epoch == self._lease.epoch()]
-        if self._down.is_set():
-            mine = []
+        own_grants = [grant for grant in owned if grant.epoch == self._lease.epoch()]
+        if self._releasing.is_set():
+            own_grants = []
         self.daemon.on_grants(
-            mine, self._parts.pop, self._view.shard_count(settings.service)
+            own_grants,
+            self._arrived_parts.pop,
+            self._view.shard_count(settings.service),
         )
 
-    def _check_epoch(self):
+    def _rejoin_if_replaced(self):
         """Join again if this daemon's epoch was retired or replaced in the log."""
         settings = self._settings
         member = self._view.member(settings.service, settings.target)
         epoch = self._lease.epoch()
         if member is None or not epoch or self._leaving.is_set():
             return
-        replaced = member.instance != self._instance
-        lost = member.epoch == epoch and member.state is TargetState.LOST
-        if replaced or lost:
+        is_replaced = member.instance != self._instance
+        is_lost = member.epoch == epoch and member.state is TargetState.LOST
+        if is_replaced or is_lost:
             self._must_rejoin("state")
 
     # --- joining and leaving ----------------------------------------------------
@@ -266,28 +268,28 @@
         self._incarnation = state.announcement.incarnation
         if state.leaving:
             self._leaving.set()
-        self._join_wanted.set()
+        self._join_requested.set()
 
     def _must_rejoin(self, reason):
         self._log.say("epoch refused, joining again", reason=str(reason))
-        self._join_wanted.set()
+        self._join_requested.set()
 
-    def _keep_joined(self):
+    def _run_joins(self):
         while not self._stopping.is_set():
-            self._join_wanted.wait()
+            self._join_requested.wait()
             if self._stopping.is_set():
                 return
-            self._join_wanted.clear()
+            self._join_requested.clear()
             try:
                 self._join_or_leave()
             except TamarackhavenError as error:
                 self._log.say("not joined yet", code=error.kind.value)
-                self._stopping.wait(RETRY_S)
-                self._join_wanted.set()
+                self._stopping.wait(RETRY_INTERVAL_S)
+                self._join_requested.set()
 
     def _join_or_leave(self):
         if self._leaving.is_set():
-            self._leave_once()
+            self._send_leave()
         elif self._needs_epoch():
             self._join()
 
@@ -308,7 +310,7 @@
         settings = self._settings
         # Each join is an entry of the log. A daemon that is refused repeatedly would
         # fill it and displace older decisions from the record.
-        self._stopping.wait(self._joined_at + JOIN_PAUSE_S - _clock.boot_s())
+        self._stopping.wait(self._joined_at + MIN_JOIN_INTERVAL_S - _clock.boot_s())
         if not self._needs_epoch():
             # The reason for this join no longer holds.
             return
@@ -326,16 +328,16 @@
             raise TamarackhavenError(ErrorKind(outcome.code), outcome.detail)
         self._joined_at = _clock.boot_s()
         self._lease.set_grant(outcome.member.epoch)
-        self._take_grants()
+        self._update_grants()
         self._handover.changed()
-        self._fetch_wanted.set()
+        self._fetch_requested.set()
         self._probe.start()
         self._log.say("joined", epoch=outcome.member.epoch)
 
     def _target_is_hung(self):
         return self.daemon.silence.check(_clock.boot_s())
 
-    def _target_down(self):
+    def _release_target(self):
         """Release the shards of a target that is down or hung, and retire it.
 
         The lease is kept until all requests in flight have ended, at most ``drain_s``
@@ -345,36 +347,36 @@
         when it resumes: it refuses to start them after Start-By, but nothing bounds
         the end of those it had started.
         """
-        hung = self.daemon.silence.hung
-        reason = "its daemon found it hung" if hung else "its daemon found it down"
-        if hung:
+        is_hung = self.daemon.silence.hung
+        reason = "its daemon found it hung" if is_hung else "its daemon found it down"
+        if is_hung:
             self.daemon.give_up_target()
         settings = self._settings
         epoch = self._lease.epoch()
-        self._down.set()
-        self._take_grants()
+        self._releasing.set()
+        self._update_grants()
         self._log.say(
             "target down or hung, shards released", reason=reason, epoch=epoch
         )
-        end = _clock.boot_s() + settings.drain_s
-        while self.daemon.in_flight_at_target() and _clock.boot_s() < end:
-            self._stopping.wait(POLL_S)
+        deadline_s = _clock.boot_s() + settings.drain_s
+        while self.daemon.in_flight_at_target() and _clock.boot_s() < deadline_s:
+            self._stopping.wait(POLL_INTERVAL_S)
         self._lease.release()
         change = RetireTarget(
             settings.service,
             settings.target,
             epoch,
-            "its daemon found it hung" if hung else "its daemon found it down",
+            "its daemon found it hung" if is_hung else "its daemon found it down",
         )
         try:
             self._client.change(change, CALL_TIMEOUT_S)
         except TamarackhavenError as error:
             # The lease is released, and the control group detects its end by itself.
             self._log.say("retirement not confirmed", code=error.kind.value)
-        self._down.clear()
-        self._join_wanted.set()
+        self._releasing.clear()
+        self._join_requested.set()
 
-    def _leave_once(self):
+    def _send_leave(self):
         settings = self._settings
         epoch = self._lease.epoch()
         if epoch:
@@ -390,7 +392,7 @@
         self._leaving.set()
         now = _clock.boot_s()
         try:
-            self._leave_once()
+            self._send_leave()
         except TamarackhavenError as error:
             self._log.say("leaving not confirmed", code=error.kind.value)
         self._wait_until_owning_nothing(now + self._grace_s)
@@ -402,18 +404,18 @@
     def _grace_s(self):
         return self._settings.lease.zone_grace_ms / 1000
 
-    def _wait_until_owning_nothing(self, end):
+    def _wait_until_owning_nothing(self, deadline_s):
         settings = self._settings
-        while _clock.boot_s() < end and self._lease.holds():
+        while _clock.boot_s() < deadline_s and self._lease.holds():
             if not self._view.owned_by(settings.service, settings.target):
                 return
-            self._stopping.wait(POLL_S)
+            self._stopping.wait(POLL_INTERVAL_S)
 
     def stop(self):
         """Stop all threads, servers and connections of this process."""
         self._stopping.set()
-        self._join_wanted.set()
-        self._fetch_wanted.set()
+        self._join_requested.set()
+        self._fetch_requested.set()
         self._probe.stop()
         self._reports.stop()
         self._handover.stop()
--- a/tamarackhaven/_target_link.py
+++ b/tamarackhaven/_target_link.py
@@ -61,7 +61,7 @@
         self._announcement = None
         self._leaving = False
         self._report = None
-        self._report_s = clock.boot_s()
+        self._reported_at = clock.boot_s()
 
     def is_new(self, announcement):
         """Return whether an announcement comes from a new start of the target."""
@@ -79,7 +79,7 @@
     def report(self, report):
         """Store a report."""
         with self._lock:
-            self._report_s = self._clock.boot_s()
+            self._reported_at = self._clock.boot_s()
             self._report = report
 
     def leave(self):
@@ -93,28 +93,28 @@
             now = self._clock.boot_s()
             report = self._report
             if report is not None:
-                age_s = report.age_s + now - self._report_s
+                age_s = report.age_s + now - self._reported_at
                 report = attrs.evolve(report, age_s=age_s)
             return LinkState(self._announcement, self._leaving, report)
 
 
-def report_from(plain):
+def parse_report(fields):
     """Return the ``TargetReport`` in a target's JSON object; its age is as of now."""
     return TargetReport(
-        age_s=float(plain.get("age_s", 0.0)),
-        running=int(plain["running"]),
-        slots=int(plain["slots"]),
-        uptime_s=float(plain["uptime_s"]),
-        incarnation=str(plain["incarnation"]),
-        served=int(plain["served"]),
+        age_s=float(fields.get("age_s", 0.0)),
+        running=int(fields["running"]),
+        slots=int(fields["slots"]),
+        uptime_s=float(fields["uptime_s"]),
+        incarnation=str(fields["incarnation"]),
+        served=int(fields["served"]),
     )
 
 
-def announcement_from(plain):
+def parse_announcement(fields):
     """Return the ``Announcement`` in a target's JSON object."""
-    address = plain["address"]
+    address = fields["address"]
     return Announcement(
-        incarnation=str(plain["incarnation"]),
-        slots=int(plain["slots"]),
+        incarnation=str(fields["incarnation"]),
+        slots=int(fields["slots"]),
         address=Address(str(address["host"]), int(address["port"])),
     )
--- a/tamarackhaven/_target_probe.py
+++ b/tamarackhaven/_target_probe.py
@@ -5,12 +5,12 @@
 import threading
 
 # A connection costs the daemon and the target about 0.3 ms of processor time each.
-PROBE_EVERY_S = 0.25
+PROBE_INTERVAL_S = 0.25
 CONNECT_TIMEOUT_S = 0.5
 # One refusal may be due to a full listen backlog; two in a row, a tenth of a second
 # apart on the loopback interface, mean that no process listens.
-REFUSALS_NEEDED = 2
-REFUSED_EVERY_S = 0.1
+MIN_REFUSALS = 2
+REFUSED_PROBE_INTERVAL_S = 0.1
 
 
 class TargetProbe:
@@ -33,7 +33,7 @@
         self._address = address.host, address.port
         self._on_down = on_down
         self._is_hung = is_hung
-        self._watching = threading.Event()
+        self._probing = threading.Event()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="probe", daemon=True)
 
@@ -49,19 +49,21 @@
 
     def start(self):
         """Start probing the target."""
-        self._watching.set()
+        self._probing.set()
         if not self._thread.is_alive():
             self._thread.start()
 
     def _run(self):
-        refused = 0
-        while not self._stopping.wait(REFUSED_EVERY_S if refused else PROBE_EVERY_S):
-            if not self._watching.is_set():
+        refusals = 0
+        while not self._stopping.wait(
+            REFUSED_PROBE_INTERVAL_S if refusals else PROBE_INTERVAL_S
+        ):
+            if not self._probing.is_set():
                 continue
-            refused = 0 if self.is_up() else refused + 1
-            if refused >= REFUSALS_NEEDED or self._is_hung():
-                refused = 0
-                self._watching.clear()
+            refusals = 0 if self.is_up() else refusals + 1
+            if refusals >= MIN_REFUSALS or self._is_hung():
+                refusals = 0
+                self._probing.clear()
                 self._on_down()
 
     def stop(self):
--- a/tamarackhaven/_view.py
+++ b/tamarackhaven/_view.py
@@ -31,33 +31,33 @@
     def __init__(self):
         self._names = [""]
         self._number_by_name = {"": 0}
-        self._owners = array("H")
-        self._moving = array("H")
+        self._owner_numbers = array("H")
+        self._destination_numbers = array("H")
         self._epochs = array("Q")
         self._grants = array("Q")
-        self._previous = array("Q")
+        self._previous_grants = array("Q")
         self._versions = array("Q")
         self._hash_by_shard = {}
         self.shard_by_hash = {}
 
     def put(self, grant):
-        while len(self._owners) <= grant.shard:
-            for column in (self._owners, self._moving):
+        while len(self._owner_numbers) <= grant.shard:
+            for column in (self._owner_numbers, self._destination_numbers):
                 column.append(0)
-            for column in self._numbers():
+            for column in self._counter_columns():
                 column.append(0)
-        self._owners[grant.shard] = self._number(grant.owner)
-        self._moving[grant.shard] = self._number(grant.moving_to)
+        self._owner_numbers[grant.shard] = self._number_of(grant.owner)
+        self._destination_numbers[grant.shard] = self._number_of(grant.moving_to)
         self._epochs[grant.shard] = grant.epoch
         self._grants[grant.shard] = grant.grant
-        self._previous[grant.shard] = grant.previous
+        self._previous_grants[grant.shard] = grant.previous
         self._versions[grant.shard] = grant.version
         if grant.key_hash:
             self._hash_by_shard[grant.shard] = grant.key_hash
             self.shard_by_hash[grant.key_hash] = grant.shard
 
-    def _numbers(self):
-        return self._epochs, self._grants, self._previous, self._versions
+    def _counter_columns(self):
+        return self._epochs, self._grants, self._previous_grants, self._versions
 
     def remove(self, shard):
         key_hash = self._hash_by_shard.pop(shard, None)
@@ -66,17 +66,17 @@
             self.put(ShardGrant("", shard))
 
     def get(self, service, shard):
-        if shard >= len(self._owners):
+        if shard >= len(self._owner_numbers):
             return ShardGrant(service, shard)
         return ShardGrant(
             service=service,
             shard=shard,
-            owner=self._names[self._owners[shard]],
+            owner=self._names[self._owner_numbers[shard]],
             epoch=self._epochs[shard],
             grant=self._grants[shard],
-            moving_to=self._names[self._moving[shard]],
+            moving_to=self._names[self._destination_numbers[shard]],
             key_hash=self._hash_by_shard.get(shard, 0),
-            previous=self._previous[shard],
+            previous=self._previous_grants[shard],
             version=self._versions[shard],
         )
 
@@ -84,9 +84,11 @@
         number = self._number_by_name.get(target)
         if number is None:
             return []
-        return [shard for shard, owner in enumerate(self._owners) if owner == number]
+        return [
+            shard for shard, owner in enumerate(self._owner_numbers) if owner == number
+        ]
 
-    def _number(self, name):
+    def _number_of(self, name):
         number = self._number_by_name.get(name)
         if number is None:
             number = len(self._names)
@@ -100,16 +102,16 @@
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._applying = threading.Lock()
-        self._clear()
+        self._apply_lock = threading.Lock()
+        self._reset_tables()
         self._membership = Membership(())
         self._version = 0
 
-    def _clear(self):
+    def _reset_tables(self):
         self._resources_by_key = {}
         self._members_by_key = {}
         self._shards_by_service = {}
-        self._takers_by_service = {}
+        self._accepting_by_service = {}
 
     @property
     def version(self):
@@ -128,40 +130,40 @@
         Applying it would revert a configuration that is already in force, so it is
         dropped: this view already contains its events.
         """
-        with self._applying:
+        with self._apply_lock:
             if feed.version <= self._version:
                 return False
             if feed.snapshot:
-                self._replace(feed)
+                self._apply_snapshot(feed)
             else:
-                self._change(feed)
+                self._apply_events(feed)
             return True
 
-    def _change(self, feed):
+    def _apply_events(self, feed):
         events = list(feed.events)
         with self._lock:
-            self._takers_by_service = {}
+            self._accepting_by_service = {}
             for event in events:
                 if event.version > self._version:
-                    self._apply(event)
+                    self._apply_event(event)
             self._version = feed.version
 
-    def _replace(self, feed):
+    def _apply_snapshot(self, feed):
         # A first feed of 65,536 shards takes a second to read. Read under the lock, it
         # would block every request for that long. So it is read into separate tables of
         # 2.4 MB, which then replace the old ones at once.
-        fresh = View()
+        new_view = View()
         for event in feed.events:
-            fresh._apply(event)
+            new_view._apply_event(event)
         with self._lock:
-            self._takers_by_service = {}
-            self._resources_by_key = fresh._resources_by_key
-            self._members_by_key = fresh._members_by_key
-            self._shards_by_service = fresh._shards_by_service
-            self._take_membership(fresh._membership)
+            self._accepting_by_service = {}
+            self._resources_by_key = new_view._resources_by_key
+            self._members_by_key = new_view._members_by_key
+            self._shards_by_service = new_view._shards_by_service
+            self._set_membership(new_view._membership)
             self._version = feed.version
 
-    def _apply(self, event):
+    def _apply_event(self, event):
         if isinstance(event, ShardChanged):
             shards = self._shards_by_service.setdefault(event.grant.service, _Shards())
             shards.put(event.grant)
@@ -180,9 +182,9 @@
             if shards is not None:
                 shards.remove(event.shard)
         elif isinstance(event, MembershipChanged):
-            self._take_membership(event.membership)
+            self._set_membership(event.membership)
 
-    def _take_membership(self, membership):
+    def _set_membership(self, membership):
         if membership.version >= self._membership.version:
             self._membership = membership
 
@@ -231,17 +233,23 @@
         version, as each request of a shared service needs it.
         """
         with self._lock:
-            known = self._takers_by_service.get(service)
-            if known is None:
-                known = [m for m in self._members_by_key.values() if self._takes(m)]
-                known = [member for member in known if member.service == service]
-                self._takers_by_service[service] = known
-            return known
-
-    def _takes(self, member):
+            accepting = self._accepting_by_service.get(service)
+            if accepting is None:
+                accepting = [
+                    m
+                    for m in self._members_by_key.values()
+                    if self._accepts_requests(m)
+                ]
+                accepting = [
+                    member for member in accepting if member.service == service
+                ]
+                self._accepting_by_service[service] = accepting
+            return accepting
+
+    def _accepts_requests(self, member):
         zone = self._resources_by_key.get(("AvailabilityZone", member.zone))
-        out = zone is not None and zone.state is ZoneState.OUT
-        return member.state is TargetState.ACTIVE and not out
+        is_out = zone is not None and zone.state is ZoneState.OUT
+        return member.state is TargetState.ACTIVE and not is_out
 
     def owned_by(self, service, target):
         """Return the ``ShardGrant`` records that a target owns."""
--- a/tests/test_control_process.py
+++ b/tests/test_control_process.py
@@ -27,24 +27,24 @@
 
 
 def assert_lease_port_is_free(settings):
-    with socket.socket(type=socket.SOCK_DGRAM) as free:
-        free.bind((HOST, settings.members[0].lease_port))
+    with socket.socket(type=socket.SOCK_DGRAM) as lease_socket:
+        lease_socket.bind((HOST, settings.members[0].lease_port))
 
 
-def test_a_failed_sync_ends_the_whole_process(settings, monkeypatch):
+def test_failed_sync_stops_the_process_and_all_threads(settings, monkeypatch):
     """The disk of a control VM fails while daemons renew leases with it.
 
     The sync of a change fails, and the member stops. If the lease thread kept running,
     the process would not exit and would grant leases that it can't record.
     """
-    files, ended = BrokenFiles(), []
+    files, errors = BrokenFiles(), []
     monkeypatch.setattr(_files, "Files", lambda: files)
 
     def run():
         try:
             run_control(settings, True, threading.Event())
         except TamarackhavenError as error:
-            ended.append(error)
+            errors.append(error)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
@@ -56,16 +56,16 @@
             checked(client.change(PutResource("1", AvailabilityZone("a")), 2))
     finally:
         client.close()
-    wait_until(lambda: ended, WAIT_S, "the process to end")
-    assert ended[0].kind is ErrorKind.SYNC_FAILED
+    wait_until(lambda: errors, WAIT_S, "the process to end")
+    assert errors[0].kind is ErrorKind.SYNC_FAILED
     assert_lease_port_is_free(settings)
 
 
-def test_a_taken_port_ends_the_whole_process(settings):
+def test_taken_port_stops_the_process_and_all_threads(settings):
     """If only the TCP port is taken, the lease port must be released as well."""
-    with socket.socket() as taken:
-        taken.bind((HOST, settings.members[0].port))
-        taken.listen()
+    with socket.socket() as blocking_socket:
+        blocking_socket.bind((HOST, settings.members[0].port))
+        blocking_socket.listen()
         with pytest.raises(TamarackhavenError) as caught:
             run_control(settings, True, threading.Event())
     assert caught.value.kind is ErrorKind.PORT_TAKEN
--- a/tests/test_daemon_process.py
+++ b/tests/test_daemon_process.py
@@ -58,7 +58,7 @@
     return True
 
 
-def test_a_map_that_comes_before_the_answer_to_a_join_is_acted_on(tmp_path):
+def test_shards_are_owned_when_the_state_arrives_before_the_join_answer(tmp_path):
     """A daemon that joins again must keep its shards under the new epoch.
 
     The state with that epoch is applied before the answer to the join names the epoch.
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -17,7 +17,7 @@
     return ResourceChanged(version, AvailabilityZone("a", region, version=version))
 
 
-def test_view_never_goes_back():
+def test_view_ignores_feeds_that_are_not_newer():
     """A control VM that lags answers a daemon that has a newer configuration.
 
     If it were applied, the old answer would revert a configuration that operators were
@@ -32,7 +32,7 @@
     assert view.resource("AvailabilityZone", "a").region == "new"
 
 
-def test_snapshot_drops_what_is_gone():
+def test_snapshot_removes_absent_resources():
     view = View()
     view.apply(Feed(5, False, [zone_event(5)]))
     view.apply(Feed(9, True, []))
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("behind", [1, 49, 51, 500])
-def test_watcher_that_fell_behind_gets_all_it_missed_or_a_snapshot(behind):
+def test_history_returns_all_missed_events_or_none(behind):
     history = History(versions=50)
     for version in range(1, 601):
         history.add(version, [zone_event(version)])
