--- a/tamarackhaven/_cold_start.py
+++ b/tamarackhaven/_cold_start.py
@@ -63,7 +63,7 @@
         return self._ceiling if self.cold else math.inf
 
     def begin(self, now, suspected=False):
-        """Start a cold start; ``suspected`` if the target hasn't reported a restart."""
+        """Begin a cold start; ``suspected`` if the target hasn't reported a restart."""
         ceiling = min(self._settings.cold_requests, self._slots)
         ramp_s = self._settings.cold_s / (SUSPECTED_RAMP_FACTOR if suspected else 1.0)
         self._ceiling = ceiling
@@ -97,7 +97,7 @@
         self._answers_in_step = 0
 
 
-class RestartSigns:
+class RestartDetector:
     """Detects from reports and request outcomes that a target has restarted.
 
     None of the signs is reliable: the incarnation may be a constant, the report may
--- a/tamarackhaven/_daemon_process.py
+++ b/tamarackhaven/_daemon_process.py
@@ -123,7 +123,7 @@
                 on_ledger_part=self._arrived_parts.take,
             )
         except TamarackhavenError:
-            # The threads of both would keep the process running.
+            # The threads of these two would keep the process running.
             self._lease.stop()
             self._client.close()
             raise
--- a/tamarackhaven/_fair_queue.py
+++ b/tamarackhaven/_fair_queue.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Waiting:
+class QueuedRequest:
     """One queued request.
 
     Parameters
@@ -37,7 +37,7 @@
     start_by_s: float
 
 
-class _Shares:
+class _ShareTable:
     """Virtual times and request counts of the keys, or of the callers."""
 
     def __init__(self):
@@ -85,8 +85,8 @@
 
     def __init__(self, settings):
         self._settings = settings
-        self._keys = _Shares()
-        self._callers = _Shares()
+        self._keys = _ShareTable()
+        self._callers = _ShareTable()
         self._entries = []
         self._virtual = 0
         self._arrivals = 0
@@ -136,7 +136,7 @@
 
     def push(self, offer, start_by_s):
         """Add ``offer`` to the queue, to start by ``start_by_s`` (seconds)."""
-        entry = Waiting(self._order(offer), offer, start_by_s)
+        entry = QueuedRequest(self._order(offer), offer, start_by_s)
         self._arrivals += 1
         self._charge(offer)
         bisect.insort(self._entries, entry, key=_order_of)
--- a/tamarackhaven/_gate.py
+++ b/tamarackhaven/_gate.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-from tamarackhaven._cold_start import ColdStart, RestartSigns
+from tamarackhaven._cold_start import ColdStart, RestartDetector
 from tamarackhaven._fair_queue import FairQueue
 from tamarackhaven._gate_messages import Admit, End, Refuse, Wait
-from tamarackhaven._limit import REPORT_LIFE_S, LearnedLimit, Shift
+from tamarackhaven._limit import REPORT_LIFE_S, LatencyShift, LearnedLimit
 from tamarackhaven._retry_after import ComeBackTimes, EmptyingRate
 from tamarackhaven.errors import ErrorKind
 
@@ -59,7 +59,7 @@
         self._rng = rng
         self._limit = LearnedLimit(slots)
         self._cold = ColdStart(settings, slots)
-        self._signs = RestartSigns()
+        self._restart_detector = RestartDetector()
         self._queue = FairQueue(settings)
         self._dequeue_rate = EmptyingRate()
         self._retry_delays = ComeBackTimes()
@@ -215,17 +215,17 @@
             self._record_failure(suspected=False)
 
     def _record_answer(self, latency_s):
-        self._signs.answered()
+        self._restart_detector.answered()
         self._dequeue_rate.ended(latency_s, self._now)
         self._cold.succeeded(self._now)
         shift = self._limit.answered(latency_s, self.taken, self._now)
-        if shift is Shift.SLOWER:
-            self._signs.slower(self._now)
-        elif shift is Shift.FASTER:
-            self._signs.faster()
+        if shift is LatencyShift.SLOWER:
+            self._restart_detector.slower(self._now)
+        elif shift is LatencyShift.FASTER:
+            self._restart_detector.faster()
 
     def _record_failure(self, suspected):
-        burst = self._signs.failed(self._now)
+        burst = self._restart_detector.failed(self._now)
         if burst and not (suspected and self._cold.cold):
             self._cold.begin(self._now, suspected)
         else:
@@ -299,7 +299,7 @@
         frees the slots of abandoned requests only: the gate counts its own.
         """
         self._advance(now)
-        if self._signs.report(report, now):
+        if self._restart_detector.report(report, now):
             self._limit.restart()
             self._cold.begin(now)
         if report.age_s <= REPORT_LIFE_S:
--- a/tamarackhaven/_ledger.py
+++ b/tamarackhaven/_ledger.py
@@ -192,7 +192,7 @@
 
         When the shard of a pinned key is removed, its key falls back to this shard,
         whose ledger started long ago, and a booking that ran at the pin's owner could
-        run again here. Call this before the first request under the changed map.
+        run again here. Call this before the first request under the changed state.
         """
         known = self._shard_by_id.get((service, shard))
         if known is not None:
--- a/tamarackhaven/_limit.py
+++ b/tamarackhaven/_limit.py
@@ -43,7 +43,7 @@
 REPORT_LIFE_S = 5.0
 
 
-class Shift(enum.Enum):
+class LatencyShift(enum.Enum):
     """A sudden change of the latency from one window to the next."""
 
     SLOWER = "slower"
@@ -65,16 +65,19 @@
         self._baseline_s = 0.0  # 0 while no trial runs
         self._windows_left = 0
 
-    def window(self, low_s):
-        """Record the low-quantile latency of a slow window; return a _TrialStep."""
+    def evaluate(self, low_latency_s):
+        """Record the low-quantile latency of a slow window; return a ``_TrialStep``."""
         self._windows_left -= 1
         if self._windows_left > 0:
             return _TrialStep.WAIT
-        if self._baseline_s and low_s > EFFECTIVE_LATENCY_FRACTION * self._baseline_s:
+        if (
+            self._baseline_s
+            and low_latency_s > EFFECTIVE_LATENCY_FRACTION * self._baseline_s
+        ):
             self._baseline_s = 0.0
             self._windows_left = TRIAL_BACKOFF_WINDOWS
             return _TrialStep.RESTORE
-        self._baseline_s = low_s
+        self._baseline_s = low_latency_s
         self._windows_left = TRIAL_WINDOWS
         return _TrialStep.SHRINK
 
@@ -130,7 +133,7 @@
             self._reported_at = made_at
 
     def answered(self, latency_s, running, now):
-        """Record one answer; return a ``Shift`` if the latency jumped, else None.
+        """Record one answer; return a ``LatencyShift`` after a jump, else None.
 
         ``latency_s`` and ``now`` are in seconds; ``running`` counts the requests at the
         target, including this one.
@@ -143,34 +146,40 @@
         return self._close_window(running)
 
     def _close_window(self, running):
-        low_s = sorted(self._samples)[int(LOW_QUANTILE * len(self._samples))]
+        low_latency_s = sorted(self._samples)[int(LOW_QUANTILE * len(self._samples))]
         self._samples = []
         full, self._is_window_full = self._is_window_full, False
-        base_s = self.base_s or low_s
-        self.base_s = min(low_s, base_s * BASE_GROWTH_FACTOR)
-        if low_s > LATENCY_JUMP_FACTOR * base_s:
+        base_s = self.base_s or low_latency_s
+        self.base_s = min(low_latency_s, base_s * BASE_GROWTH_FACTOR)
+        if low_latency_s > LATENCY_JUMP_FACTOR * base_s:
             # The new base applies at once: requests that become permanently longer
             # cause one jump and don't keep the target cold.
-            self.base_s = low_s
+            self.base_s = low_latency_s
             self._trial = _Trial()
-            return Shift.SLOWER
-        if low_s > LATENCY_TOLERANCE_FACTOR * base_s:
-            self._slow_window(low_s, LATENCY_TOLERANCE_FACTOR * base_s / low_s)
+            return LatencyShift.SLOWER
+        if low_latency_s > LATENCY_TOLERANCE_FACTOR * base_s:
+            self._slow_window(
+                low_latency_s, LATENCY_TOLERANCE_FACTOR * base_s / low_latency_s
+            )
             return None
         self._trial = _Trial()
         if full:
             self._proven_concurrency = max(self._proven_concurrency, running)
             self._limit = min(self.slots, self._limit + 1.0)
-        return Shift.FASTER if low_s * LATENCY_TOLERANCE_FACTOR < base_s else None
+        return (
+            LatencyShift.FASTER
+            if low_latency_s * LATENCY_TOLERANCE_FACTOR < base_s
+            else None
+        )
 
-    def _slow_window(self, low_s, factor):
+    def _slow_window(self, low_latency_s, factor):
         """Try a smaller limit, and restore it if the latency doesn't fall.
 
         A target that is 2 to 4 times slower than usual may be overloaded, and gets
         slower for all callers at the old limit. If it is slow for another reason, a
         smaller limit would halve its throughput. Only a trial distinguishes the two.
         """
-        step = self._trial.window(low_s)
+        step = self._trial.evaluate(low_latency_s)
         if step is _TrialStep.SHRINK:
             self._shrink(factor)
         elif step is _TrialStep.RESTORE:
