--- a/tamarackhaven/_control_services.py
+++ b/tamarackhaven/_control_services.py
@@ -1,4 +1,4 @@
-"""The calls that a control VM answers, over ``grpclib``."""
+"""The gRPC services of a control VM, on ``grpclib``."""
 
 import asyncio
 import contextlib
@@ -18,21 +18,21 @@
 from tamarackhaven._wire_grpc import ControlBase, PeerBase
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-WAIT_MS_MAX = 30_000
-EXPLAIN_LIMIT_MAX = 500
+MAX_WAIT_MS = 30_000
+MAX_EXPLAIN_DECISIONS = 500
 
 
 class PeerService(PeerBase):
-    """Calls from other control VMs.
+    """The service that other control VMs call.
 
     Parameters
     ----------
     consensus : Consensus
-        Takes the messages.
+        Receives the messages.
     fence : callable
-        ``fence(service, target, epoch) -> FenceAnswer``; it syncs a file.
+        ``fence(service, target, epoch) -> FenceAnswer``; it syncs a file to disk.
     executor : concurrent.futures.Executor
-        Where ``fence`` runs, away from the event loop.
+        Runs ``fence`` outside the event loop.
     """
 
     def __init__(self, consensus, fence, executor):
@@ -41,14 +41,14 @@
         self._executor = executor
 
     async def Step(self, stream):  # noqa: N802
-        """Take consensus messages until the sender ends the call."""
+        """Deliver consensus messages until the sender ends the call."""
         async for request in stream:
             messages = [from_wire(message) for message in request.messages]
             self._consensus.deliver(messages)
         await stream.send_message(pb.StepReply())
 
     async def Fence(self, stream):  # noqa: N802
-        """Refuse an epoch from now on, if its promise has run out."""
+        """Fence an epoch if its lease promise has expired."""
         request = await stream.recv_message()
         answer = await asyncio.get_running_loop().run_in_executor(
             self._executor, self._fence, request.service, request.target, request.epoch
@@ -59,68 +59,68 @@
         )
 
 
-class Versions:
-    """Lets coroutines wait until an entry is applied."""
+class VersionWaiters:
+    """Lets coroutines wait until a newer version is applied."""
 
     def __init__(self, machine, loop):
         self._machine = machine
         self._loop = loop
-        self._waiting = set()
+        self._futures = set()
         machine.on_applied(self._applied)
 
     def _applied(self, version):
-        if self._waiting:
+        if self._futures:
             self._loop.call_soon_threadsafe(self._wake)
 
     def _wake(self):
-        for future in self._waiting:
+        for future in self._futures:
             if not future.done():
                 future.set_result(None)
-        self._waiting.clear()
+        self._futures.clear()
 
-    async def newer_than(self, version, timeout_s):
-        """Return once the applied version is higher, or after ``timeout_s``."""
-        end = self._loop.time() + timeout_s
+    async def wait_for_newer(self, version, timeout_s):
+        """Return once a newer version is applied, or after ``timeout_s`` seconds."""
+        deadline_s = self._loop.time() + timeout_s
         while self._machine.version <= version:
-            left = end - self._loop.time()
-            if left <= 0:
+            remaining_s = deadline_s - self._loop.time()
+            if remaining_s <= 0:
                 return
             future = self._loop.create_future()
-            self._waiting.add(future)
-            # An entry applied before the line above told nobody.
+            self._futures.add(future)
+            # An entry that was applied before the line above has not woken this future.
             if self._machine.version > version:
                 return
-            await asyncio.wait([future], timeout=left)
-            self._waiting.discard(future)
+            await asyncio.wait([future], timeout=remaining_s)
+            self._futures.discard(future)
 
 
 class ControlService(ControlBase):
-    """Calls from daemons and operators.
+    """The service that daemons and operators call.
 
     Parameters
     ----------
     consensus : Consensus
         The replicated log.
     machine : Machine
-        What is applied of it here.
+        State machine with the entries that are applied here.
     peers : Peers
-        The way to the leader.
+        Connections to the other members, among them the leader.
     leader : LeaderDuties
-        What the leader knows beyond the log: reports and silent targets.
-    versions : Versions
-        For watchers.
+        The leader's state outside the log: load reports and silent targets.
+    version_waiters : VersionWaiters
+        Wakes watchers when a version is applied.
     """
 
-    def __init__(self, consensus, machine, peers, leader, versions):
+    def __init__(self, consensus, machine, peers, leader, version_waiters):
         self._consensus = consensus
         self._machine = machine
         self._peers = peers
         self._leader = leader
-        self._versions = versions
-        self._newest = None, b""
+        self._version_waiters = version_waiters
+        self._packed_cache = None, b""
 
     async def Change(self, stream):  # noqa: N802
-        """Commit a change; passed to the leader once if this is not it."""
+        """Commit a change; a follower forwards it to the leader once."""
         request = await stream.recv_message()
         outcome = await self._change(request)
         await stream.send_message(
@@ -131,7 +131,7 @@
         leader = self._leader_stub()
         if leader is not None:
             if request.forwarded:
-                return _outcome(ErrorKind.NO_QUORUM, "leadership is moving")
+                return _outcome(ErrorKind.NO_QUORUM, "leadership is changing")
             request.forwarded = True
             try:
                 reply = await leader.Change(request, timeout=request.timeout_ms / 1000)
@@ -143,26 +143,28 @@
         except Exception as error:
             return _outcome(ErrorKind.INVALID_RESOURCE, _first_line(error))
         try:
-            change = self._named(change)
+            change = self._checked_change(change)
             command = encode_command(Command(change, unix_s()))
-            return await self._committed(
+            return await self._wait_committed(
                 self._consensus.propose(command), request.timeout_ms
             )
         except TamarackhavenError as error:
             return _outcome(error.kind, error.detail)
 
-    def _named(self, change):
+    def _checked_change(self, change):
         if isinstance(change, JoinTarget):
             return self._leader.checked_join(change)
         return change
 
-    async def _committed(self, future, timeout_ms):
+    async def _wait_committed(self, future, timeout_ms):
         try:
             return await asyncio.wait_for(
                 asyncio.wrap_future(future), timeout_ms / 1000
             )
         except TimeoutError:
-            return _outcome(ErrorKind.CHANGE_UNCONFIRMED, "no majority in time")
+            return _outcome(
+                ErrorKind.CHANGE_UNCONFIRMED, "no majority within the timeout"
+            )
 
     async def Membership(self, stream):  # noqa: N802
         """Add, promote or remove a member of the group."""
@@ -174,7 +176,7 @@
         try:
             step = _codec.loads(request.step, Step)
             self._leader.check_membership_step(step)
-            await self._committed(
+            await self._wait_committed(
                 self._consensus.change_membership(step), request.timeout_ms
             )
             outcome = Outcome(version=self._machine.version)
@@ -185,7 +187,7 @@
         )
 
     async def Fetch(self, stream):  # noqa: N802
-        """Answer the events since a version, waiting for some if asked to."""
+        """Answer the events since a version; wait up to ``wait_ms`` for newer ones."""
         request = await stream.recv_message()
         if request.linearizable:
             leader = self._leader_stub()
@@ -193,9 +195,9 @@
                 await stream.send_message(await leader.Fetch(request))
                 return
             await self._read_barrier()
-        wait_s = min(request.wait_ms, WAIT_MS_MAX) / 1000
+        wait_s = min(request.wait_ms, MAX_WAIT_MS) / 1000
         if wait_s:
-            await self._versions.newer_than(request.from_version, wait_s)
+            await self._version_waiters.wait_for_newer(request.from_version, wait_s)
         await stream.send_message(self._reply(request.from_version))
 
     async def _read_barrier(self):
@@ -207,41 +209,41 @@
     def _reply(self, from_version):
         feed = self._machine.feed(from_version)
         return pb.FetchReply(
-            version=feed.version, snapshot=feed.snapshot, events=self._packed(feed)
+            version=feed.version, snapshot=feed.snapshot, events=self._pack_events(feed)
         )
 
-    def _packed(self, feed):
-        """Return the feed's events as bytes, the newest ones from memory.
+    def _pack_events(self, feed):
+        """Return the feed's events as bytes, cached for the newest feed.
 
-        Load: 1,500 daemons fetch the same change within a moment. Harm: packed anew
-        for each, 4,096 changed shards take a minute of processor time. Limit: one
-        feed is kept, since nearly all of them come from the same version.
+        1,500 daemons fetch the same change within a moment. Packed for each of them,
+        4,096 changed shards would take a minute of processor time. One cached feed is
+        sufficient, as nearly all daemons fetch from the same version.
         """
         if not feed.events:
             return b""
         first, last = feed.events[0], feed.events[-1]
-        known = feed.version, feed.snapshot, len(feed.events), first, last
-        if self._newest[0] != known:
-            self._newest = known, pack(feed.events)
-        return self._newest[1]
+        cache_key = feed.version, feed.snapshot, len(feed.events), first, last
+        if self._packed_cache[0] != cache_key:
+            self._packed_cache = cache_key, pack(feed.events)
+        return self._packed_cache[1]
 
     async def Explain(self, stream):  # noqa: N802
-        """Answer recorded decisions; the leader also knows the moves not made."""
+        """Answer recorded decisions; only the leader has those against a move."""
         request = await stream.recv_message()
         leader = self._leader_stub()
         if leader is not None:
             with contextlib.suppress(*CALL_FAILURES):
                 await stream.send_message(await leader.Explain(request, timeout=1))
                 return
-        decisions = self._explain(request)
+        decisions = self._find_decisions(request)
         await stream.send_message(
             pb.ExplainReply(decisions=_codec.dumps(decisions, list[Decision]))
         )
 
-    def _explain(self, request):
-        limit = min(request.limit or 50, EXPLAIN_LIMIT_MAX)
+    def _find_decisions(self, request):
+        limit = min(request.limit or 50, MAX_EXPLAIN_DECISIONS)
         with self._machine.lock:
-            shard = self._shard(request.service, request.key)
+            shard = self._shard_of_key(request.service, request.key)
             found = self._machine.state.decisions.find(
                 request.service, shard, request.decision_id, limit
             )
@@ -251,7 +253,7 @@
         newest_first = sorted(found + refused, key=lambda d: -d.at_unix_s)
         return newest_first[:limit]
 
-    def _shard(self, service, key):
+    def _shard_of_key(self, service, key):
         resource = self._machine.state.resource("Service", service)
         if resource is None or not key:
             return None
@@ -262,11 +264,11 @@
         return _keys.shard_of(key_hash, resource.shard_count)
 
     async def Report(self, stream):  # noqa: N802
-        """Take a daemon's report of load."""
+        """Record a daemon's load report, or forward it to the leader."""
         request = await stream.recv_message()
         leader = self._leader_stub()
         if leader is not None:
-            # A report that is lost with its leader is followed by the next one.
+            # If the leader is lost, the next report replaces this one.
             with contextlib.suppress(*CALL_FAILURES):
                 await leader.Report(request, timeout=1)
         else:
@@ -274,7 +276,7 @@
         await stream.send_message(pb.ReportReply())
 
     async def Status(self, stream):  # noqa: N802
-        """Answer what this member knows of the group."""
+        """Answer this member's view of the group."""
         await stream.recv_message()
         status = self._consensus.status()
         await stream.send_message(
@@ -289,7 +291,7 @@
         )
 
     def _leader_stub(self):
-        """Return the leader's stub, or None if this member has to answer itself."""
+        """Return the leader's stub, or None if this member must answer by itself."""
         status = self._consensus.status()
         if not status.leader or status.leader == status.name:
             return None
--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon beside a target: servers, filters, gate and ledger put together."""
+"""The daemon beside a target: its servers, request path, gate and ledger."""
 
 import random
 import threading
@@ -31,45 +31,45 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 _ANNOUNCE_THREADS = 2
-# The forwarding daemon adds headers to what a caller may send.
+# A forwarding daemon adds headers to those of the caller.
 PEER_HEADER_BYTES = 2 * MAX_HEADER_BYTES
 
 
 @attrs.frozen
 class _Target:
-    """The present target: its gate and the connections to it."""
+    """The gate of the target's current start and the connections to it."""
 
     admission: Admission
     connections: Connections
 
 
 class Daemon:
-    """One daemon; signals are handled by whoever starts it.
+    """One daemon; the process that starts it handles signals.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Its settings.
+        Settings of the daemon.
     view : View
         The state of the control group; may change at any time.
     lease : Lease
         The lease of the target beside it.
     metrics : Metrics
-        Counters of the process.
+        Metrics of the process.
     log : Log
-        Each part gets one with its own prefix.
+        Each component logs to a part with its own prefix.
     clock : Clock
         Usually the module ``_clock``.
     on_target : callable or None
-        Called with the ``LinkState`` when the target announced itself, started anew
-        or began to leave.
-    take_ledger : callable or None
-        Takes the bytes of a ledger part from another daemon.
+        Called with the ``LinkState`` when the target has announced itself, restarted
+        or begun to leave.
+    on_ledger_part : callable or None
+        Called with the bytes of a ledger part from another daemon.
 
     Notes
     -----
-    ``on_confirmed`` must be called each time the state was confirmed: ``stale_s``
-    after the last call all requests are refused as STATE_STALE.
+    ``on_confirmed`` must be called each time the state is confirmed: ``stale_s``
+    seconds after the last call, all requests are refused with STATE_STALE.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         log,
         clock,
         on_target=None,
-        take_ledger=None,
+        on_ledger_part=None,
     ):
         self.settings = settings
         self.ledger = Ledger(settings.bookings)
@@ -95,12 +95,12 @@
         self._on_target = on_target or (lambda state: None)
         self._lock = threading.Lock()
         self._announce_lock = threading.Lock()
-        self._target = self._given_up = None
-        self._draining = False
+        self._target = self._hung_target = None
+        self._is_draining = False
         self._zone = ZoneState.IN
         self._confirmed_s = clock.boot_s()
         self.seen_load = SeenLoad(clock)
-        self._grants = Grants(_Locked(self.ledger, self.ledger_lock), clock)
+        self._grants = Grants(_LockedLedger(self.ledger, self.ledger_lock), clock)
         self._forwarder = Forwarder(2 * settings.threads)
         self._canceller = Canceller()
         owner = Owner(
@@ -110,7 +110,7 @@
             self._grants,
             self.ledger,
             self.ledger_lock,
-            self._present_target,
+            self._current_target,
             self._canceller,
             clock,
             self.seen_load.note,
@@ -118,7 +118,7 @@
         )
         self.path = self._make_path(view, owner, log.part("path"))
         self._servers = []
-        self._open_ports(take_ledger or _no_ledger)
+        self._open_ports(on_ledger_part or _refuse_ledger_part)
 
     def _make_path(self, view, owner, log):
         settings, metrics, clock = self.settings, self._metrics, self._clock
@@ -142,14 +142,14 @@
             view, exclusive, self._shared, self.standing, metrics, log, clock
         )
 
-    def _open_ports(self, take_ledger):
+    def _open_ports(self, on_ledger_part):
         settings = self.settings
         try:
             self.caller = self._serve(
                 caller_app(self.path), settings.caller, settings.threads, "caller"
             )
             self.peer = self._serve(
-                peer_app(self.path, take_ledger),
+                peer_app(self.path, on_ledger_part),
                 settings.peer,
                 settings.threads,
                 "peer",
@@ -172,7 +172,7 @@
         return server
 
     def start(self):
-        """Serve from now on."""
+        """Start all servers."""
         for server in self._servers:
             server.start()
         self._log.say(
@@ -184,57 +184,59 @@
         )
 
     def drain(self):
-        """Refuse new work with DRAINING and wait for what is in flight.
+        """Refuse new requests with DRAINING and wait for those in flight.
 
         Requests for keys of other targets are still forwarded. Returns whether all
-        ended within ``drain_s``.
+        requests ended within ``drain_s`` seconds.
         """
         with self._lock:
-            self._draining = True
+            self._is_draining = True
             target = self._target
         for server in self._servers:
             server.close_after_answers()
         if target is not None:
             target.admission.stop(ErrorKind.DRAINING)
         self._log.say("draining")
-        done = self.path.wait_idle(self.settings.drain_s)
-        self._log.say("drained" if done else "drain time is over")
-        return done
+        is_idle = self.path.wait_idle(self.settings.drain_s)
+        self._log.say(
+            "drained" if is_idle else "requests still in flight after drain_s"
+        )
+        return is_idle
 
     def stop(self):
-        """Close all ports and connections; what is in flight is cut off."""
+        """Close all ports and connections, and abort requests in flight."""
         self._stop_servers()
         self._shared.close()
         self._forwarder.close()
         self._canceller.close()
         with self._lock:
             target, self._target = self._target, None
-        _end(target)
+        _close_target(target)
         self._log.say("stopped")
 
     def _stop_servers(self):
         for server in self._servers:
             server.stop()
 
-    # What the control link tells.
+    # Calls from the control link.
 
     def on_grants(self, grants, pop_part=None, shard_count=0):
-        """Own exactly these ``ShardGrant`` records of this target from now on.
+        """Replace the owned ``ShardGrant`` records of this target.
 
         See ``Grants.replace`` for the parameters.
         """
         self._grants.replace(grants, pop_part, shard_count)
 
     def on_confirmed(self, now):
-        """Note that the state was confirmed at ``now``, seconds of CLOCK_BOOTTIME."""
+        """Record that the state was confirmed at ``now``, seconds of CLOCK_BOOTTIME."""
         self._confirmed_s = max(self._confirmed_s, now)
 
     def on_zone(self, state):
-        """Note the state of this daemon's availability zone."""
+        """Set the state of this daemon's availability zone."""
         self._zone = state
 
     def in_flight(self, service, shard):
-        """Return the number of requests in flight in a shard, waiting ones too."""
+        """Return the number of requests in flight in a shard, including queued ones."""
         return self._grants.in_flight((service, shard))
 
     def in_flight_of(self, grant, shard_count):
@@ -242,7 +244,7 @@
         return self._grants.in_flight_of(grant, shard_count)
 
     def in_flight_at_target(self):
-        """Return the number of requests in flight at the target, waiting ones too."""
+        """Return the number of requests in flight at the target, and queued for it."""
         return self._grants.in_flight_all()
 
     def export_ledger(self, service, shard):
@@ -251,12 +253,12 @@
             return self.ledger.export(service, shard)
 
     def gate_state(self):
-        """Return the gate's present limit, and whether it is cold.
+        """Return the gate's current limit, and whether the target is cold.
 
         Returns
         -------
         (int, bool)
-            A target that has not announced itself counts as cold, with limit 0.
+            Limit and whether cold; (0, True) before the target has announced itself.
         """
         target = self._target
         if target is None:
@@ -265,17 +267,17 @@
         return gauges["limit"], bool(gauges["cold"])
 
     def stop_admitting(self, service, shard):
-        """Take no new request of a shard until a newer grant, or ``resume``."""
+        """Refuse new requests of a shard until a newer grant or ``resume``."""
         self._grants.stop((service, shard))
 
     def resume(self, service, shard):
-        """Take requests of a shard again, should its move be taken back."""
+        """Admit requests of a shard again after its move was cancelled."""
         self._grants.resume((service, shard))
 
-    # What the target says.
+    # Calls from the target.
 
     def announced(self, announcement):
-        """Take in the announcement of a target; a new start gets a new gate.
+        """Apply the announcement of a target; each start of it gets a new gate.
 
         Raises
         ------
@@ -284,21 +286,21 @@
         """
         _check_address(announcement.address, self.settings.target_address)
         with self._announce_lock:
-            new = self.link.is_new(announcement)
-            if new:
+            is_new_start = self.link.is_new(announcement)
+            if is_new_start:
                 self.silence.started(self._clock.boot_s())
                 self._replace_target(announcement)
             else:
                 self.silence.heard(self._clock.boot_s())
-            # Last, so that who reads of a start finds its gate in place.
+            # Last, so that a reader of the new link state finds the new gate in place.
             self.link.announce(announcement)
-        if not new:
+        if not is_new_start:
             return
         self._log.say("target announced itself", incarnation=announcement.incarnation)
         self._on_target(self.link.state())
 
     def reported(self, report):
-        """Take in a report of the target."""
+        """Apply a load report of the target."""
         self.link.report(report)
         self.silence.reported(self._clock.boot_s())
         target = self._target
@@ -308,7 +310,7 @@
                 self._metrics.gauge(f"tamarackhaven_gate_{name}", value)
 
     def left(self):
-        """Take in that the target has begun to leave."""
+        """Refuse queued and new requests: the target has begun to leave."""
         self.link.leave()
         self.silence.heard(self._clock.boot_s())
         target = self._target
@@ -318,35 +320,35 @@
         self._on_target(self.link.state())
 
     def give_up_target(self):
-        """Refuse what waits for a hung target; what is in flight ends by itself."""
+        """Refuse requests queued for a hung target; ``Owner`` ends those in flight."""
         target = self._target
         if target is not None:
-            self._given_up = target
-            # They did not run, and may run at the next owner.
+            self._hung_target = target
+            # The queued requests did not run, so the next owner may run them.
             target.admission.stop(ErrorKind.MOVING)
 
     def take_target_back(self):
-        """Let requests through to a target that was given up and speaks again."""
-        given_up, self._given_up = self._given_up, None
-        leaving = self._draining or self.link.state().leaving
-        if given_up is not None and given_up is self._target and not leaving:
-            given_up.admission.open(cold=False)
+        """Admit requests again to a target that was hung and now responds."""
+        hung_target, self._hung_target = self._hung_target, None
+        is_leaving = self._is_draining or self.link.state().leaving
+        if hung_target is not None and hung_target is self._target and not is_leaving:
+            hung_target.admission.open(cold=False)
 
     def state(self):
-        """Return what the target is told, as a JSON object."""
+        """Return the daemon's state for the target, as a JSON object."""
         now = self._clock.boot_s()
         return {
-            "draining": self._draining,
+            "draining": self._is_draining,
             "zone": self._zone.value,
             "lease_held": self._lease.holds(now),
         }
 
     def standing(self):
-        """Return what this daemon knows of itself now."""
+        """Return the current ``Standing`` of this daemon."""
         return Standing(
             service=self.settings.service,
             target=self.settings.target,
-            draining=self._draining or self.link.state().leaving,
+            draining=self._is_draining or self.link.state().leaving,
             zone=self._zone,
             confirmed_s=self._confirmed_s,
         )
@@ -354,8 +356,8 @@
     def _replace_target(self, announcement):
         target = self._make_target(announcement)
         with self._lock:
-            last, self._target = self._target, target
-        _end(last)
+            previous, self._target = self._target, target
+        _close_target(previous)
 
     def _make_target(self, announcement):
         gate = Gate(
@@ -365,24 +367,24 @@
             random.Random(),
         )
         admission = Admission(gate, self._clock)
-        if self._draining:
+        if self._is_draining:
             admission.stop(ErrorKind.DRAINING)
         address = announcement.address
         limit = self.settings.gate.max_connections
         return _Target(admission, Connections(address.host, address.port, limit))
 
-    def _present_target(self):
+    def _current_target(self):
         target = self._target
         if target is None:
             raise TamarackhavenError(
-                ErrorKind.TARGET_UNREACHABLE, "It has not announced itself."
+                ErrorKind.TARGET_UNREACHABLE, "The target has not announced itself."
             )
         return target.admission, target.connections
 
 
 @attrs.frozen
-class _Locked:
-    """The ledger's adopt and drop under its lock."""
+class _LockedLedger:
+    """The ledger's methods for shard ownership, called under its lock."""
 
     ledger: Ledger
     lock: threading.Lock
@@ -405,14 +407,19 @@
 
 
 def _check_address(announced, expected):
-    """Refuse an announcement that the probe of the target would not fit.
+    """Refuse an announcement whose address isn't the one that the probe watches.
+
+    Requests go to the announced address, while the probe watches the address in the
+    settings. If these differ, a healthy target could be retired, or one that is down
+    could be kept.
 
-    Failure: requests go to the announced address while the probe watches the one of
-    the settings. Symptom: a target in good health is given up, or one that is down is
-    kept. With one address for both neither can happen.
+    Raises
+    ------
+    TamarackhavenError
+        ADDRESS_MISMATCH, naming both addresses.
     """
-    same_port = expected.port in (0, announced.port)
-    if announced.host != expected.host or not same_port:
+    is_same_port = expected.port in (0, announced.port)
+    if announced.host != expected.host or not is_same_port:
         raise TamarackhavenError(
             ErrorKind.ADDRESS_MISMATCH,
             f"{announced.host}:{announced.port} was announced, "
@@ -420,8 +427,8 @@
         )
 
 
-def _end(target):
-    """Close what an earlier start of the target left; waiting requests are refused."""
+def _close_target(target):
+    """Refuse requests queued for an earlier target start; close its connections."""
     if target is None:
         return
     target.admission.stop(ErrorKind.TARGET_UNREACHABLE)
@@ -429,5 +436,7 @@
     target.connections.close()
 
 
-def _no_ledger(body):
-    raise TamarackhavenError(ErrorKind.NOT_FOUND, "This daemon takes no ledger parts.")
+def _refuse_ledger_part(body):
+    raise TamarackhavenError(
+        ErrorKind.NOT_FOUND, "This daemon accepts no ledger parts."
+    )
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the history of events and of a daemon's view."""
+"""Tests of the event history and of a daemon's view."""
 
 import random
 
@@ -17,10 +17,11 @@
     return ResourceChanged(version, AvailabilityZone("a", region, version=version))
 
 
-def test_view_never_goes_back():
+def test_view_ignores_feeds_that_are_not_newer():
     """A control VM that lags answers a daemon that has a newer configuration.
 
-    Taken in, the old answer would revert what operators were told is in force.
+    If it were applied, the old answer would revert a configuration that operators were
+    told is in force.
     """
     view = View()
     assert view.apply(Feed(5, False, [zone_event(5, "new")]))
@@ -31,7 +32,7 @@
     assert view.resource("AvailabilityZone", "a").region == "new"
 
 
-def test_snapshot_drops_what_is_gone():
+def test_snapshot_removes_absent_resources():
     view = View()
     view.apply(Feed(5, False, [zone_event(5)]))
     view.apply(Feed(9, True, []))
@@ -39,7 +40,7 @@
 
 
 @pytest.mark.parametrize("behind", [1, 49, 51, 500])
-def test_watcher_that_fell_behind_gets_all_it_missed_or_a_snapshot(behind):
+def test_history_returns_all_missed_events_or_none(behind):
     history = History(versions=50)
     for version in range(1, 601):
         history.add(version, [zone_event(version)])
@@ -60,7 +61,7 @@
 
 
 def test_view_built_from_deltas_equals_the_state():
-    """Random changes reach a view by deltas in random portions."""
+    """Random changes are applied to a view as deltas of random length."""
     rng = random.Random(7)
     state, history, view = ClusterState(), History(), View()
     for index in range(1, 120):
