--- a/tamarackhaven/_answer.py
+++ b/tamarackhaven/_answer.py
@@ -1,4 +1,4 @@
-"""Filter: from an error kind to the HTTP answer. No input or output."""
+"""Filter that builds the HTTP answer for an error kind. No I/O."""
 
 import json
 import math
@@ -7,8 +7,8 @@
 from tamarackhaven._request import HttpAnswer
 from tamarackhaven.errors import ANSWER_BY_KIND, Repeat
 
-# A kind that says "later" without a time still needs one, or callers return at once
-# and together.
+# Used for errors that may be retried later but name no time. Without it all callers
+# would retry immediately and at the same moment.
 DEFAULT_RETRY_AFTER_S = 1.0
 
 
@@ -18,19 +18,19 @@
     Parameters
     ----------
     error : TamarackhavenError
-        What went wrong.
+        The error to answer.
     request_id : str
-        Empty if the request was not read so far.
+        Empty if the request id has not been read yet.
     ran : Ran or None
-        Overrides what the table says.
+        Overrides the value of the error table.
     decision_id : str
-        Also on the log lines of this refusal.
+        Id under which this refusal is logged.
 
     Returns
     -------
     HttpAnswer
-        With a JSON body: code, name, sentence, detail, ran, request_id and, if the
-        request may be repeated later, retry_after_s.
+        With a JSON body: code, name, sentence, detail, ran, repeat, request_id and, if
+        the request may be retried later, retry_after_s in seconds.
     """
     row = ANSWER_BY_KIND[error.kind]
     ran = (ran or row.ran).value
@@ -51,8 +51,8 @@
     if row.repeat is Repeat.LATER:
         retry_after_s = error.retry_after_s or DEFAULT_RETRY_AFTER_S
         content["retry_after_s"] = round(retry_after_s, 3)
-        # HTTP's own header knows whole seconds only. Told alone, callers whose times
-        # were spread over a part of a second come back together.
+        # Retry-After has whole seconds only. With it alone, callers whose times were
+        # spread over a fraction of a second would all retry at the same moment.
         headers.append((names.RETRY_AFTER_HEADER, str(math.ceil(retry_after_s))))
         retry_after_ms = math.ceil(1000 * retry_after_s)
         headers.append((names.RETRY_AFTER_MS_HEADER, str(retry_after_ms)))
--- a/tamarackhaven/_cancel.py
+++ b/tamarackhaven/_cancel.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from tamarackhaven._clock import boot_s
-from tamarackhaven._send import Sending, send
+from tamarackhaven._send import OutgoingRequest, send
 from tamarackhaven.errors import TamarackhavenError
 
 CANCEL_TARGET = "/cancel"
@@ -43,7 +43,7 @@
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _send(self, connections, request_id):
-        sending = Sending(
+        sending = OutgoingRequest(
             # An id of its own, so that a target can't take it for the request.
             request_id=request_id + _ID_SUFFIX,
             method="POST",
--- a/tamarackhaven/_forward.py
+++ b/tamarackhaven/_forward.py
@@ -6,7 +6,7 @@
 from tamarackhaven._clock import boot_s
 from tamarackhaven._model import PolicyMode
 from tamarackhaven._retry import LOST_KINDS, REFUSED_KINDS, RELOCATED_KINDS
-from tamarackhaven._send import Connections, Sending, send
+from tamarackhaven._send import Connections, OutgoingRequest, send
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 # A daemon's own error answers must fit also where a service allows tiny bodies.
@@ -115,7 +115,7 @@
     if request.first_sent_s is not None:
         headers.append((names.FIRST_SENT_HEADER, f"{request.first_sent_s:.6f}"))
     limit = max(located.service.max_body_bytes, _LEAST_BODY_BYTES)
-    return Sending(
+    return OutgoingRequest(
         request_id=request.request_id,
         method=request.method,
         target=request.target,
--- a/tamarackhaven/_identify.py
+++ b/tamarackhaven/_identify.py
@@ -1,8 +1,8 @@
-"""Filter: from a raw HTTP request to an identified one. No input or output.
+"""Filter that reads service, key and deadline from a raw HTTP request. No I/O.
 
 The service is the first segment of the path. The key is the header
-``Tamarackhaven-Key`` if it is there, else the second segment of the path. So a caller
-whose paths already hold the key needs no header, and one whose paths don't adds one.
+``Tamarackhaven-Key`` if present, else the second segment of the path. Callers whose
+paths contain the key therefore need no header; all others add it.
 """
 
 import re
@@ -16,9 +16,9 @@
 MAX_KEY_CHARS = 256
 MAX_DEADLINE_MS = 600_000
 _TOKEN = re.compile(r"[A-Za-z0-9._:@/+=-]{1,128}")
-_WHOLE = re.compile(r"-?[0-9]{1,15}")
-_SECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
-_HOPS = re.compile(r"[0-9]")
+_INTEGER = re.compile(r"-?[0-9]{1,15}")
+_DECIMAL_SECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?")
+_HOP_COUNT = re.compile(r"[0-9]")
 
 _HOP_BY_HOP = frozenset(
     {
@@ -39,27 +39,27 @@
 
 
 def read_request_id(raw):
-    """Return the request id that the caller states, or an empty text.
+    """Return the caller's request id, or an empty string if it sent none.
 
     Raises
     ------
     TamarackhavenError
         BAD_HEADER.
     """
-    return _token(raw, names.REQUEST_ID_HEADER)
+    return _parse_token(raw, names.REQUEST_ID_HEADER)
 
 
 def identify(raw, request_id, decision_id=""):
-    """Return the request that ``raw`` states.
+    """Parse ``raw`` and return the identified request.
 
     Parameters
     ----------
     raw : RawRequest
         The request as it arrived.
     request_id : str
-        Its id, stated or made.
+        The caller's id, or one that this daemon generated.
     decision_id : str
-        This daemon's own id of this arrival.
+        This daemon's own id for this request.
 
     Raises
     ------
@@ -67,8 +67,8 @@
         MALFORMED_REQUEST, UNKNOWN_SERVICE, MISSING_KEY, BAD_HEADER, BAD_DEADLINE,
         DEADLINE_PAST or MISSING_IDEMPOTENCY_KEY.
     """
-    service, path_key = _split(raw.target)
-    key = _key(raw, path_key)
+    service, path_key = _split_path(raw.target)
+    key = _parse_key(raw, path_key)
     request = Request(
         request_id=request_id,
         service=service,
@@ -76,34 +76,36 @@
         key_hash=hash_key(service, key),
         method=raw.method,
         target=raw.target,
-        headers=_passed_on(raw.headers),
+        headers=_headers_for_target(raw.headers),
         body=raw.body,
-        caller=_token(raw, names.CALLER_HEADER) or raw.peer_host,
+        caller=_parse_token(raw, names.CALLER_HEADER) or raw.peer_host,
         received_s=raw.received_s,
-        deadline_s=_deadline(raw),
-        idempotency_key=_token(raw, names.IDEMPOTENCY_HEADER),
-        first_sent_s=_first_sent(raw),
-        hops=_hops(raw),
+        deadline_s=_parse_deadline_s(raw),
+        idempotency_key=_parse_token(raw, names.IDEMPOTENCY_HEADER),
+        first_sent_s=_parse_first_sent_s(raw),
+        hops=_parse_hops(raw),
         decision_id=decision_id,
     )
     _check_booking(request)
     return request
 
 
-def _split(target):
+def _split_path(target):
     if not target.startswith("/"):
         raise TamarackhavenError(
             ErrorKind.MALFORMED_REQUEST, "The request target must start with '/'."
         )
     path = target.partition("?")[0]
     segments = path.split("/")[1:]
-    service = _segment(segments[0])
+    service = _decode_segment(segments[0])
     if not service:
-        raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, "The path names none.")
-    return service, _segment(segments[1]) if len(segments) > 1 else ""
+        raise TamarackhavenError(
+            ErrorKind.UNKNOWN_SERVICE, "The path names no service."
+        )
+    return service, _decode_segment(segments[1]) if len(segments) > 1 else ""
 
 
-def _segment(text):
+def _decode_segment(text):
     try:
         return unquote_to_bytes(text).decode()
     except UnicodeDecodeError:
@@ -112,21 +114,21 @@
         ) from None
 
 
-def _value(raw, name):
+def _header_value(raw, name):
     return raw.headers.get(name.lower(), "")
 
 
-def _token(raw, name):
-    value = _value(raw, name)
+def _parse_token(raw, name):
+    value = _header_value(raw, name)
     if value and not _TOKEN.fullmatch(value):
         raise TamarackhavenError(ErrorKind.BAD_HEADER, f"{name} has a bad value.")
     return value
 
 
-def _key(raw, path_key):
-    # WSGI hands header bytes over as Latin-1; keys are UTF-8.
+def _parse_key(raw, path_key):
+    # WSGI decodes header bytes as Latin-1; keys are UTF-8.
     try:
-        header_key = _value(raw, names.KEY_HEADER).encode("latin-1").decode()
+        header_key = _header_value(raw, names.KEY_HEADER).encode("latin-1").decode()
     except UnicodeError:
         raise TamarackhavenError(
             ErrorKind.BAD_HEADER, f"{names.KEY_HEADER} is not UTF-8."
@@ -141,11 +143,11 @@
     return key
 
 
-def _deadline(raw):
-    value = _value(raw, names.DEADLINE_MS_HEADER)
+def _parse_deadline_s(raw):
+    value = _header_value(raw, names.DEADLINE_MS_HEADER)
     if not value:
         return None
-    if not _WHOLE.fullmatch(value) or int(value) > MAX_DEADLINE_MS:
+    if not _INTEGER.fullmatch(value) or int(value) > MAX_DEADLINE_MS:
         raise TamarackhavenError(
             ErrorKind.BAD_DEADLINE,
             f"{names.DEADLINE_MS_HEADER} must be a whole number of milliseconds,"
@@ -156,11 +158,11 @@
     return raw.received_s + int(value) / 1000
 
 
-def _first_sent(raw):
-    value = _value(raw, names.FIRST_SENT_HEADER)
+def _parse_first_sent_s(raw):
+    value = _header_value(raw, names.FIRST_SENT_HEADER)
     if not value:
         return None
-    if not _SECONDS.fullmatch(value):
+    if not _DECIMAL_SECONDS.fullmatch(value):
         raise TamarackhavenError(
             ErrorKind.BAD_HEADER,
             f"{names.FIRST_SENT_HEADER} must be seconds since 1970.",
@@ -168,11 +170,11 @@
     return float(value)
 
 
-def _hops(raw):
-    value = _value(raw, names.HOPS_HEADER)
+def _parse_hops(raw):
+    value = _header_value(raw, names.HOPS_HEADER)
     if not value:
         return 0
-    if not _HOPS.fullmatch(value):
+    if not _HOP_COUNT.fullmatch(value):
         raise TamarackhavenError(
             ErrorKind.BAD_HEADER, f"{names.HOPS_HEADER} must be one digit."
         )
@@ -180,9 +182,9 @@
 
 
 def _check_booking(request):
-    """Refuse a booking that could not be recognised when it is sent again.
+    """Refuse a booking without idempotency key or time of its first try.
 
-    Without both, a repeated booking looks like a new one and runs twice.
+    Without both, a retry of the booking looks like a new one and runs twice.
     """
     if not request.is_booking:
         return
@@ -190,8 +192,8 @@
         raise TamarackhavenError(ErrorKind.MISSING_IDEMPOTENCY_KEY)
 
 
-def _passed_on(headers):
-    """Return the headers that go on to the target as they are."""
+def _headers_for_target(headers):
+    """Return the headers that are forwarded to the target unchanged."""
     named_by_connection = {
         name.strip().lower() for name in headers.get("connection", "").split(",")
     }
--- a/tamarackhaven/_locate.py
+++ b/tamarackhaven/_locate.py
@@ -1,4 +1,4 @@
-"""Filter: where a request goes, from the daemon's view. No input or output."""
+"""Filter that finds the owner of a request's key in the daemon's view. No I/O."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 
 def locate(request, view):
-    """Return the request with its deadline, and where its key belongs.
+    """Return the request with its deadline, and the owner of its key.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     Returns
     -------
     (Request, Located)
-        Without an owner if that is lost: the key waits for its next one.
+        The owner is None if it is lost and the key has no new owner yet.
 
     Raises
     ------
@@ -33,7 +33,7 @@
     if len(request.body) > service.max_body_bytes:
         raise TamarackhavenError(
             ErrorKind.BODY_TOO_LARGE,
-            f"The service takes {service.max_body_bytes} bytes at most.",
+            f"The service accepts at most {service.max_body_bytes} bytes.",
         )
     if request.deadline_s is None:
         deadline_s = request.received_s + service.default_deadline_ms / 1000
--- a/tamarackhaven/_owner.py
+++ b/tamarackhaven/_owner.py
@@ -20,7 +20,7 @@
 )
 from tamarackhaven._model import PolicyMode
 from tamarackhaven._request import HttpAnswer
-from tamarackhaven._send import Sending, send
+from tamarackhaven._send import OutgoingRequest, send
 from tamarackhaven._verify import verify
 from tamarackhaven.errors import ErrorKind, Ran, TamarackhavenError
 
@@ -163,7 +163,7 @@
         # the ledger, so that its next try gets it and not "unknown".
         if request.is_booking:
             gone = _never
-        sending = Sending(
+        sending = OutgoingRequest(
             request_id=request.request_id,
             method=request.method,
             target=request.target,
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -122,31 +122,31 @@
             return None
         if not self._retries.allows(error, request, attempts):
             return None
-        newer = self.newer(request, located, gone)
+        newer = self.wait_for_newer_grant(request, located, gone)
         if newer is None:
             self._retries.give_back()
             return None
         self._retries.started(error)
         return newer
 
-    def newer(self, request, located, gone):
+    def wait_for_newer_grant(self, request, located, gone):
         """Wait a bounded time for another grant of the key; None if none came."""
         with self._lock:
             if self.waiting >= self._most_waiting:
                 return None
             self.waiting += 1
         try:
-            return self._wait_for_newer(request, located, gone)
+            return self._poll_for_newer_grant(request, located, gone)
         finally:
             with self._lock:
                 self.waiting -= 1
 
-    def _wait_for_newer(self, request, located, gone):
+    def _poll_for_newer_grant(self, request, located, gone):
         wait_s = self._settings.forward_wait_ms / 1000
         until_s = min(self._clock.boot_s() + wait_s, request.deadline_s)
         pause = threading.Event()
         while self._clock.boot_s() < until_s and not gone():
-            newer = newer_owner(self._view, request, located)
+            newer = find_newer_grant(self._view, request, located)
             if newer is not None:
                 return newer
             pause.wait(_WAIT_STEP_S)
@@ -167,14 +167,14 @@
         """Return whether the caller is gone or the key has another owner."""
         if self._gone():
             return True
-        newer = newer_owner(self._view, self._request, self._located)
+        newer = find_newer_grant(self._view, self._request, self._located)
         self.changed = newer is not None and (
             newer.grant.owner != self._located.grant.owner
         )
         return self.changed
 
 
-def newer_owner(view, request, located):
+def find_newer_grant(view, request, located):
     """Return where the key is by a newer grant that has an owner, or None."""
     newer = view.locate(request.service, request.key_hash)
     if newer.owner is None or newer.grant.grant <= located.grant.grant:
--- a/tamarackhaven/_path.py
+++ b/tamarackhaven/_path.py
@@ -1,4 +1,4 @@
-"""The way of a request: identify, locate, forward or serve, answer."""
+"""Takes each request through identification, location and serving or forwarding."""
 
 import itertools
 import threading
@@ -15,17 +15,17 @@
 from tamarackhaven._verify import is_owner
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-_TRACE_LIMIT = -5
+_TRACEBACK_LIMIT = -5  # negative: the innermost frames
 _FORWARDED_HOPS = 1
 
 
 class RequestPath:
-    """All filters of one daemon, in order.
+    """Runs the filters of one daemon, in order, on each request.
 
     Parameters
     ----------
     view : View
-        The state.
+        The shared state as this daemon knows it.
     exclusive : OwnerRoute
         For services whose keys have one owner.
     shared : SharedRoute
@@ -35,9 +35,9 @@
     metrics : Metrics
         Counts answers and refusals.
     log : Log
-        Of this part.
+        Log of the request path.
     clock : Clock
-        Both clocks.
+        Used to check deadlines and to date refusals.
     """
 
     def __init__(self, view, exclusive, shared, standing, metrics, log, clock):
@@ -50,7 +50,7 @@
         self._clock = clock
         self.refusals = RefusalRecord()
         self._id_prefix = uuid.uuid4().hex[:12]
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._idle = threading.Condition()
         self._in_flight = 0
 
@@ -60,7 +60,7 @@
         return self._exclusive.waiting
 
     def from_caller(self, raw, gone):
-        """Answer a caller's request; serve or forward it."""
+        """Answer a request of a caller, serving or forwarding it."""
         return self._answer(raw, gone, self._route_caller)
 
     def from_peer(self, raw, gone):
@@ -68,7 +68,7 @@
         return self._answer(raw, gone, self._route_peer)
 
     def wait_idle(self, timeout_s):
-        """Return whether no request was in flight within ``timeout_s``."""
+        """Wait until no request is in flight; return False after ``timeout_s``."""
         with self._idle:
             return self._idle.wait_for(lambda: not self._in_flight, timeout_s)
 
@@ -76,13 +76,13 @@
         with self._idle:
             self._in_flight += 1
         try:
-            return self._answer_counted(raw, gone, route)
+            return self._answer_request(raw, gone, route)
         finally:
             with self._idle:
                 self._in_flight -= 1
                 self._idle.notify_all()
 
-    def _answer_counted(self, raw, gone, route):
+    def _answer_request(self, raw, gone, route):
         request_id = ""
         decision_id = self._make_id()
         try:
@@ -92,16 +92,16 @@
                 raise TamarackhavenError(ErrorKind.QUEUE_FULL, "All threads are busy.")
             answer = route(request, raw, gone)
         except TamarackhavenError as error:
-            return self._refused(error, request_id, decision_id)
+            return self._answer_refusal(error, request_id, decision_id)
         except Exception as error:
-            trace = traceback.format_exc(limit=_TRACE_LIMIT)
+            trace = traceback.format_exc(limit=_TRACEBACK_LIMIT)
             self._log.say("unexpected error", request_id, decision_id, trace=trace)
             internal = TamarackhavenError(ErrorKind.INTERNAL, type(error).__name__)
-            return self._refused(internal, request_id, decision_id)
+            return self._answer_refusal(internal, request_id, decision_id)
         self._metrics.count(_metrics.ANSWERS, status=answer.status)
         return answer
 
-    def _refused(self, error, request_id, decision_id):
+    def _answer_refusal(self, error, request_id, decision_id):
         self._metrics.count(_metrics.REFUSALS, kind=error.kind.name)
         self.refusals.add(
             Refusal(
@@ -119,12 +119,13 @@
         return answer_error(error, request_id, error.answer.ran, decision_id)
 
     def _make_id(self):
-        return f"{self._id_prefix}-{next(self._numbers)}"
+        return f"{self._id_prefix}-{next(self._request_numbers)}"
 
     def _route_caller(self, request, raw, gone):
         if request.hops:
             raise TamarackhavenError(
-                ErrorKind.FORWARD_LOOP, "A daemon forwarded to a port for callers."
+                ErrorKind.FORWARD_LOOP,
+                "A forwarded request came to the port for callers.",
             )
         request, located = self._locate(request)
         if located.mode is PolicyMode.SHARED:
@@ -134,22 +135,29 @@
     def _route_peer(self, request, raw, gone):
         if request.hops != _FORWARDED_HOPS:
             raise TamarackhavenError(
-                ErrorKind.FORWARD_LOOP, f"It has passed {request.hops} daemons."
+                ErrorKind.FORWARD_LOOP,
+                f"The request has passed {request.hops} daemons.",
             )
         request, located = self._locate(request)
         if located.mode is PolicyMode.SHARED:
-            located = self._here(request, located)
-        elif not is_owner(located, self._standing()) and _expects(raw, located):
-            located = self._exclusive.newer(request, located, gone) or located
+            located = self._locate_at_own_target(request, located)
+        elif not is_owner(located, self._standing()) and _forwarder_has_newer_grant(
+            raw, located
+        ):
+            located = (
+                self._exclusive.wait_for_newer_grant(request, located, gone) or located
+            )
         return self._exclusive.serve(request, located, gone)
 
-    def _here(self, request, located):
-        """Return the ``Located`` of a shared service at this daemon's target."""
+    def _locate_at_own_target(self, request, located):
+        """Return ``located`` with this daemon's target as the one to serve at."""
         refuse_booking(request)
         standing = self._standing()
         member = self._view.member(standing.service, standing.target)
         if member is None or standing.service != request.service:
-            raise TamarackhavenError(ErrorKind.NOT_OWNER, "Of another service.")
+            raise TamarackhavenError(
+                ErrorKind.NOT_OWNER, "This daemon's target doesn't serve this service."
+            )
         return at_member(located, member)
 
     def _locate(self, request):
@@ -159,7 +167,7 @@
         return request, located
 
 
-def _expects(raw, located):
-    """Return whether the forwarding daemon knew a newer grant than this one does."""
+def _forwarder_has_newer_grant(raw, located):
+    """Return whether the forwarding daemon's grant is newer than this daemon's."""
     value = raw.headers.get("tamarackhaven-epoch", "")
     return value.isdigit() and int(value) > located.grant.grant
--- a/tamarackhaven/_send.py
+++ b/tamarackhaven/_send.py
@@ -1,8 +1,8 @@
-"""Filter: send a request to an HTTP server and read its whole answer.
+"""Filter that sends a request to an HTTP server and reads its whole answer.
 
-Used towards the target and towards other daemons. What is known of "did it run" goes
-by the point of failure: before the first byte was written it did not, afterwards
-nobody knows.
+It is used for the target and for other daemons. Whether a failed request ran depends
+on the point of failure: before the first byte was written it did not run, afterwards
+it is unknown.
 """
 
 import http.client
@@ -20,30 +20,32 @@
 from tamarackhaven._request import HttpAnswer
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-CONNECT_S = 0.5
-# Shorter than the 120 s after which waitress closes a silent connection.
-IDLE_S = 20.0
-_POLL_S = 0.05
-_SHORTEST_S = 0.001
-# waitress refuses to pass on the standard ones; the others it writes itself.
+CONNECT_TIMEOUT_S = 0.5
+# Shorter than the 120 s after which waitress closes an idle connection.
+MAX_IDLE_S = 20.0
+_POLL_INTERVAL_S = 0.05
+_MIN_TIMEOUT_S = 0.001
+# waitress rejects the standard hop-by-hop headers from an application and writes the
+# others itself.
 _HOP_BY_HOP = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization"}
     | {"te", "trailer", "trailers", "transfer-encoding", "upgrade"}
     | {"date", "server", "via"}
 )
-_LENGTH = "content-length"
+_CONTENT_LENGTH = "content-length"
 
 
 @attrs.frozen
-class Sending:
-    """What goes out on one connection.
+class OutgoingRequest:
+    """A request to be sent on one connection.
 
     Parameters
     ----------
     deadline_s : float
-        Latest end of the answer, in seconds of CLOCK_BOOTTIME.
+        Time by which the whole answer must have arrived, in seconds of
+        CLOCK_BOOTTIME.
     max_body_bytes : int
-        Largest answer body that is read.
+        Largest answer body that is accepted.
     """
 
     request_id: str
@@ -56,10 +58,10 @@
 
 
 class _TimedReader(io.RawIOBase):
-    """Reads from a socket until a deadline, or until the caller has hung up.
+    """Reads from a socket until a deadline, or until the caller has disconnected.
 
-    A timeout of the socket starts anew with each byte, so a target that sends one
-    byte a second would hold a connection and a thread for hours.
+    The socket's own timeout restarts with each byte, so a target that sends one byte a
+    second would occupy a connection and a thread for hours.
     """
 
     def __init__(self, sock, deadline_s, gone):
@@ -75,7 +77,7 @@
             left_s = self._deadline_s - boot_s()
             if left_s <= 0:
                 raise TimeoutError
-            self._sock.settimeout(min(left_s, _POLL_S))
+            self._sock.settimeout(min(left_s, _POLL_INTERVAL_S))
             try:
                 return self._sock.recv_into(buffer)
             except TimeoutError:
@@ -92,12 +94,12 @@
     gone: object
 
     def makefile(self, mode):
-        """Return a buffered reader with the deadline."""
+        """Return a buffered reader that enforces the deadline."""
         return io.BufferedReader(_TimedReader(self.sock, self.deadline_s, self.gone))
 
 
 class Connections:
-    """Connections to one address, never more than a hard bound.
+    """A connection pool for one address with a fixed maximum size.
 
     Parameters
     ----------
@@ -106,38 +108,39 @@
     port : int
         TCP port.
     limit : int
-        Most connections at once, in use and idle together.
+        Maximum number of connections, in use and idle together.
     unreachable : ErrorKind
-        Kind for a server that takes no connection.
+        Error kind for a server that accepts no connection.
     """
 
     def __init__(self, host, port, limit, unreachable=ErrorKind.TARGET_UNREACHABLE):
         self.address = (host, port)
-        self._unreachable = unreachable
+        self._unreachable_kind = unreachable
         self._in_use = threading.BoundedSemaphore(limit)
         self._idle = deque()
         self.opened = 0
 
     def acquire(self, deadline_s):
-        """Return a connected socket of one's own.
+        """Return a connected socket for exclusive use until it is released.
 
         Raises
         ------
         TamarackhavenError
-            CONNECTIONS_FULL, or the kind for an unreachable server; nothing was sent.
+            CONNECTIONS_FULL, or the kind for an unreachable server; nothing was
+            sent.
         """
-        # Connections beyond what the target bears make it fail for all; refusing one
-        # request is the smaller harm, and it did not run.
+        # More connections than the target can handle would make all its requests fail.
+        # A refused request did not run and may be retried.
         if not self._in_use.acquire(blocking=False):
             raise TamarackhavenError(ErrorKind.CONNECTIONS_FULL)
         try:
-            return self._idle_one() or self._open(deadline_s)
+            return self._pop_idle() or self._open(deadline_s)
         except BaseException:
             self._in_use.release()
             raise
 
     def release(self, sock, reusable):
-        """Give a socket back; it is closed unless ``reusable``."""
+        """Return a socket to the pool, or close it unless ``reusable``."""
         if reusable:
             self._idle.append((time.monotonic(), sock))
         else:
@@ -149,24 +152,24 @@
         while self._idle:
             self._idle.popleft()[1].close()
 
-    def _idle_one(self):
+    def _pop_idle(self):
         while True:
             try:
-                since, sock = self._idle.pop()
+                idle_since_s, sock = self._idle.pop()
             except IndexError:
                 return None
-            if time.monotonic() - since < IDLE_S and not _has_input(sock):
+            if time.monotonic() - idle_since_s < MAX_IDLE_S and not _has_input(sock):
                 return sock
             sock.close()
 
     def _open(self, deadline_s):
-        timeout = max(_SHORTEST_S, min(CONNECT_S, deadline_s - boot_s()))
+        timeout_s = max(_MIN_TIMEOUT_S, min(CONNECT_TIMEOUT_S, deadline_s - boot_s()))
         try:
-            sock = socket.create_connection(self.address, timeout)
+            sock = socket.create_connection(self.address, timeout_s)
         except OSError as error:
             host, port = self.address
             raise TamarackhavenError(
-                self._unreachable, f"{host}:{port}: {error}."
+                self._unreachable_kind, f"{host}:{port}: {error}."
             ) from error
         self.opened += 1
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -174,56 +177,59 @@
 
 
 def _has_input(sock):
-    """Return whether an idle connection was closed or holds bytes nobody asked for.
+    """Return whether an idle connection was closed or has unexpected input.
 
-    Such bytes are a late answer to an earlier request. Without this check the next
-    caller would be given it.
+    Such input is a late answer to an earlier request. Without this check it would be
+    returned to the next caller.
     """
     poll = select.poll()
     poll.register(sock, select.POLLIN | select.POLLHUP | select.POLLERR)
     return bool(poll.poll(0))
 
 
-def send(connections, sending, gone):
+def send(connections, outgoing, gone):
     """Send one request and return its whole answer.
 
     Parameters
     ----------
     connections : Connections
-        To the server.
-    sending : Sending
-        What to send.
+        Connection pool of the server.
+    outgoing : OutgoingRequest
+        The request to send.
     gone : callable
-        Says whether the caller has hung up.
+        Returns whether the caller has disconnected.
 
     Returns
     -------
     HttpAnswer
-        Without hop-by-hop headers.
+        The answer without hop-by-hop headers.
 
     Raises
     ------
     TamarackhavenError
-        CONNECTIONS_FULL or the unreachable kind (did not run); TARGET_SENT_NOTHING,
-        ANSWER_SHORT, ANSWER_TOO_LARGE, ANSWER_TIMEOUT, ANSWER_MISMATCH or CALLER_GONE
-        (unknown). The connection is closed after each of the latter.
+        CONNECTIONS_FULL or the unreachable kind if the request did not run;
+        TARGET_SENT_NOTHING, ANSWER_SHORT, ANSWER_TOO_LARGE, ANSWER_TIMEOUT,
+        ANSWER_MISMATCH or CALLER_GONE if that is unknown. The connection is closed
+        after each of the latter.
     """
-    sock = connections.acquire(sending.deadline_s)
+    sock = connections.acquire(outgoing.deadline_s)
     reusable = False
     try:
-        _write(sock, connections.address, sending)
-        response = _response(sock, sending, gone)
-        body = _body(response, sending)
-        _check_echo(response, sending)
+        _write(sock, connections.address, outgoing)
+        response = _read_response(sock, outgoing, gone)
+        body = _read_body(response, outgoing)
+        _check_echo(response, outgoing)
         reusable = not response.will_close
     finally:
         connections.release(sock, reusable)
-    return HttpAnswer(response.status, _headers(response, sending), body)
+    return HttpAnswer(response.status, _headers(response, outgoing), body)
 
 
-def _headers(response, sending):
-    """Return the headers to pass on; only HEAD needs the length that was stated."""
-    dropped = _HOP_BY_HOP if sending.method == "HEAD" else _HOP_BY_HOP | {_LENGTH}
+def _headers(response, outgoing):
+    """Return the headers to forward; Content-Length is kept only for HEAD."""
+    dropped = (
+        _HOP_BY_HOP if outgoing.method == "HEAD" else _HOP_BY_HOP | {_CONTENT_LENGTH}
+    )
     return tuple(
         (name, value)
         for name, value in response.getheaders()
@@ -231,25 +237,25 @@
     )
 
 
-def _write(sock, address, sending):
+def _write(sock, address, outgoing):
     connection = http.client.HTTPConnection(*address)
     connection.sock = sock
-    sock.settimeout(max(_SHORTEST_S, sending.deadline_s - boot_s()))
-    headers = dict(sending.headers)
-    headers[names.REQUEST_ID_HEADER] = sending.request_id
-    if sending.body or sending.method not in names.LOOKUP_METHODS:
-        headers["Content-Length"] = str(len(sending.body))
+    sock.settimeout(max(_MIN_TIMEOUT_S, outgoing.deadline_s - boot_s()))
+    headers = dict(outgoing.headers)
+    headers[names.REQUEST_ID_HEADER] = outgoing.request_id
+    if outgoing.body or outgoing.method not in names.LOOKUP_METHODS:
+        headers["Content-Length"] = str(len(outgoing.body))
     try:
-        connection.request(sending.method, sending.target, sending.body, headers)
+        connection.request(outgoing.method, outgoing.target, outgoing.body, headers)
     except TimeoutError as error:
         raise TamarackhavenError(ErrorKind.ANSWER_TIMEOUT) from error
     except OSError as error:
         raise TamarackhavenError(ErrorKind.TARGET_SENT_NOTHING, str(error)) from error
 
 
-def _response(sock, sending, gone):
+def _read_response(sock, outgoing, gone):
     response = http.client.HTTPResponse(
-        _TimedSocket(sock, sending.deadline_s, gone), method=sending.method
+        _TimedSocket(sock, outgoing.deadline_s, gone), method=outgoing.method
     )
     try:
         response.begin()
@@ -264,14 +270,16 @@
     return response
 
 
-def _body(response, sending):
-    limit = sending.max_body_bytes
+def _read_body(response, outgoing):
+    limit = outgoing.max_body_bytes
     if response.length is not None and response.length > limit:
         raise TamarackhavenError(ErrorKind.ANSWER_TOO_LARGE)
     if response.length is None and not response.chunked:
-        # Only the end of the connection would mark the end of this answer, and a
-        # crash looks the same: the caller might get half of it as the whole.
-        raise TamarackhavenError(ErrorKind.ANSWER_SHORT, "It states no length.")
+        # The end of such an answer is marked only by the end of the connection, which
+        # looks like a crash: the caller might get a truncated answer as a whole one.
+        raise TamarackhavenError(
+            ErrorKind.ANSWER_SHORT, "The answer has neither Content-Length nor chunks."
+        )
     try:
         body = response.read(limit + 1)
     except TimeoutError as error:
@@ -285,12 +293,14 @@
     return body
 
 
-def _check_echo(response, sending):
-    """Refuse an answer that belongs to another request.
+def _check_echo(response, outgoing):
+    """Raise ANSWER_MISMATCH unless the answer names the id of the request.
 
-    A target, or a proxy inside it, that mixes up two connections would otherwise give
-    one caller the other's data.
+    If the target, or a proxy inside it, mixes up two connections, one caller would
+    otherwise get another caller's data.
     """
     echoed = response.getheader(names.REQUEST_ID_HEADER, "")
-    if echoed != sending.request_id:
-        raise TamarackhavenError(ErrorKind.ANSWER_MISMATCH, f"It names {echoed!r}.")
+    if echoed != outgoing.request_id:
+        raise TamarackhavenError(
+            ErrorKind.ANSWER_MISMATCH, f"The answer names request id {echoed!r}."
+        )
--- a/tamarackhaven/_verify.py
+++ b/tamarackhaven/_verify.py
@@ -1,4 +1,4 @@
-"""Filter: whether this daemon may serve a key now. No input or output."""
+"""Filter that checks whether this daemon may serve a key now. No I/O."""
 
 import attrs
 
@@ -10,18 +10,18 @@
 
 @attrs.frozen
 class Standing:
-    """What this daemon knows of itself at one moment.
+    """The status of this daemon at one moment.
 
     Parameters
     ----------
     service, target : str
-        The target beside it.
+        The target on the same VM.
     draining : bool
-        It takes no new work.
+        Whether it refuses new requests.
     zone : ZoneState
-        State of its availability zone.
+        State of the daemon's availability zone.
     confirmed_s : float
-        When its state was last confirmed, in seconds of CLOCK_BOOTTIME.
+        When its view of the state was last confirmed, in seconds of CLOCK_BOOTTIME.
     """
 
     service: str
@@ -34,36 +34,41 @@
 def verify(located, standing, lease, stale_s, now):
     """Refuse a request that this daemon may not serve at ``now``.
 
+    ``stale_s`` is the greatest age of a confirmed view, in seconds; ``now`` is in
+    seconds of CLOCK_BOOTTIME.
+
     Raises
     ------
     TamarackhavenError
-        NOT_OWNER, DRAINING, ZONE_OUT, STATE_STALE or LEASE_LOST; none of them ran.
+        NOT_OWNER, DRAINING, ZONE_OUT, STATE_STALE or LEASE_LOST; the request
+        did not run.
     """
     if not is_owner(located, standing):
-        raise _refusal(ErrorKind.NOT_OWNER)
+        raise _refusal_error(ErrorKind.NOT_OWNER)
     if standing.draining:
-        raise _refusal(ErrorKind.DRAINING)
+        raise _refusal_error(ErrorKind.DRAINING)
     if standing.zone is ZoneState.OUT:
-        raise _refusal(ErrorKind.ZONE_OUT)
+        raise _refusal_error(ErrorKind.ZONE_OUT)
     if now - standing.confirmed_s > stale_s:
-        raise _refusal(ErrorKind.STATE_STALE)
-    # A daemon that was paused comes back believing in its map. Without this check it
-    # would serve a key that another target owns by now; the lease's end is counted
-    # from the renewal's sending on a clock that ran on meanwhile.
+        raise _refusal_error(ErrorKind.STATE_STALE)
+    # A daemon that resumes after a pause still has its old map and would serve a key
+    # that another target owns by now. The lease check is sufficient because the lease
+    # expires a fixed time after its renewal was sent, on a clock that also runs during
+    # the pause.
     if not lease.holds(now):
-        raise _refusal(ErrorKind.LEASE_LOST)
-    # A daemon that was retired and joined again holds the lease of its new epoch while
-    # its map still shows the shards of the old one, which others own by now. Only a
-    # grant to the epoch that the lease is for is this daemon's.
+        raise _refusal_error(ErrorKind.LEASE_LOST)
+    # A daemon that was retired and joined again holds the lease of its new epoch, but
+    # its map may still list shards granted to the old epoch, which other targets own by
+    # now. Only grants to the epoch of the lease are valid.
     if located.grant.epoch != lease.epoch():
-        raise _refusal(ErrorKind.LEASE_LOST)
+        raise _refusal_error(ErrorKind.LEASE_LOST)
 
 
 def is_owner(located, standing):
-    """Return whether the key belongs to the target beside this daemon."""
+    """Return whether this daemon's target owns the key."""
     grant = located.grant
     return (grant.service, grant.owner) == (standing.service, standing.target)
 
 
-def _refusal(kind):
+def _refusal_error(kind):
     return TamarackhavenError(kind, "", RETRY_AFTER_S)
--- a/tests/test_identify.py
+++ b/tests/test_identify.py
@@ -1,4 +1,4 @@
-"""From raw requests to identified ones, without sockets."""
+"""Tests of identifying raw requests, without sockets."""
 
 import json
 
@@ -20,14 +20,14 @@
     return RawRequest(method, target, names, b"", "10.0.0.9", 100.0)
 
 
-def test_the_header_key_goes_before_the_path_key():
+def test_the_header_key_overrides_the_path_key():
     by_path = identify(raw("/s/a%20b/more?x=1"), "r")
     by_header = identify(raw("/s/other", tamarackhaven_key="a b"), "r")
     assert (by_path.key, by_path.key_hash) == ("a b", by_header.key_hash)
     assert by_path.target == "/s/a%20b/more?x=1"
 
 
-def test_a_whole_request_is_read():
+def test_all_headers_of_a_request_are_parsed():
     found = identify(
         raw(
             method="POST",
@@ -63,7 +63,7 @@
         ("MALFORMED_REQUEST", {"target": "/s/%ff"}),
     ],
 )
-def test_bad_values_have_their_kind(kind, headers):
+def test_bad_values_are_refused_with_their_kind(kind, headers):
     with pytest.raises(TamarackhavenError) as caught:
         identify(raw(**headers), "r")
     assert caught.value.kind is ErrorKind[kind]
@@ -75,7 +75,7 @@
     value=st.text(st.characters(max_codepoint=255), max_size=12),
     name=st.sampled_from(["key", "deadline_ms", "request_id", "hops", "first_sent"]),
 )
-def test_any_input_is_identified_or_refused_from_the_table(target, value, name):
+def test_arbitrary_input_is_identified_or_refused_as_not_run(target, value, name):
     request = raw("/" + target, **{f"tamarackhaven_{name}": value})
     try:
         found = identify(request, read_request_id(request) or "made")
@@ -87,13 +87,13 @@
 
 
 @pytest.mark.parametrize("kind", ErrorKind)
-def test_every_kind_has_a_whole_answer(kind):
+def test_every_error_kind_has_a_complete_answer(kind):
     answer = answer_error(TamarackhavenError(kind, "why", 0.3), "r1")
     row = ANSWER_BY_KIND[kind]
-    plain = json.loads(answer.body)
-    assert (answer.status, plain["code"]) == (row.http_status, kind.value)
-    assert answer.header("Tamarackhaven-Ran") == plain["ran"] == row.ran.value
+    content = json.loads(answer.body)
+    assert (answer.status, content["code"]) == (row.http_status, kind.value)
+    assert answer.header("Tamarackhaven-Ran") == content["ran"] == row.ran.value
     later = row.repeat is Repeat.LATER
     assert answer.header("Retry-After") == ("1" if later else "")
     assert answer.header("Tamarackhaven-Retry-After-Ms") == ("300" if later else "")
-    assert ("retry_after_s" in plain) == later
+    assert ("retry_after_s" in content) == later
--- a/tests/test_send.py
+++ b/tests/test_send.py
@@ -1,4 +1,4 @@
-"""Sending to a target that misbehaves: the kind, whether it ran, the connection."""
+"""Tests of sending to misbehaving targets: error kind, whether it ran, connection."""
 
 import contextlib
 import socket
@@ -9,12 +9,12 @@
 
 from standin.target import Mode, Server, StandinSettings
 from tamarackhaven._clock import boot_s
-from tamarackhaven._send import Connections, Sending, send
+from tamarackhaven._send import Connections, OutgoingRequest, send
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tests.fakes import wait_for
 
 
-def sending(request_id="r1", wait_s=10.0, **more):
+def outgoing(request_id="r1", wait_s=10.0, **extra):
     values = {
         "method": "GET",
         "target": "/s/k",
@@ -23,14 +23,16 @@
         "max_body_bytes": 1000,
     }
     deadline_s = boot_s() + wait_s
-    return Sending(request_id=request_id, deadline_s=deadline_s, **(values | more))
+    return OutgoingRequest(
+        request_id=request_id, deadline_s=deadline_s, **(values | extra)
+    )
 
 
 def never():
     return False
 
 
-def send_refused(connections, request, gone=never):
+def send_expecting_error(connections, request, gone=never):
     with pytest.raises(TamarackhavenError) as caught:
         send(connections, request, gone)
     return caught.value
@@ -42,9 +44,10 @@
 
 @contextlib.contextmanager
 def scripted(*answers):
-    """A server that gives each request on a connection the next of ``answers``.
+    """Run a server that answers each request with the next of ``answers``.
 
-    Yields connections to it and the list of what it received, one list a connection.
+    Yields a connection pool for it and a list of what it received, with one list for
+    each connection.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     received = []
@@ -82,8 +85,8 @@
         thread.join(10)
 
 
-def ok(request_id="r1", body=b"fine", more=""):
-    head = f"HTTP/1.1 200 OK\r\nTamarackhaven-Request-Id: {request_id}\r\n{more}"
+def ok(request_id="r1", body=b"fine", extra=""):
+    head = f"HTTP/1.1 200 OK\r\nTamarackhaven-Request-Id: {request_id}\r\n{extra}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -97,7 +100,7 @@
         (ok("other"), "ANSWER_MISMATCH"),
         (b"SMTP ready\r\n\r\n", "ANSWER_SHORT"),
         (b"HTTP/1.1 200 OK\r\nTamarackhaven-Request-Id: r1\r\n\r\nx", "ANSWER_SHORT"),
-        (ok(more="X: " + "x" * 70_000 + "\r\n"), "ANSWER_TOO_LARGE"),
+        (ok(extra="X: " + "x" * 70_000 + "\r\n"), "ANSWER_TOO_LARGE"),
         (
             b"HTTP/1.1 200 OK\r\nTamarackhaven-Request-Id: r1\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n5\r\nhal",
@@ -105,31 +108,33 @@
         ),
     ],
 )
-def test_a_bad_answer_has_its_kind_and_ends_the_connection(answer, kind):
-    """After a bad answer nobody knows what ran or what is still to come.
+def test_a_bad_answer_has_its_kind_and_closes_the_connection(answer, kind):
+    """A reused connection could return the rest of a bad answer to the next request.
 
-    The caller hears "unknown", and the next request goes over a new connection, so
-    that no rest of the bad answer is taken for its own.
+    It is unknown what ran, so the caller is answered "unknown", and the next request
+    goes over a new connection.
     """
     with scripted(answer, ok("r2")) as (connections, received):
         wait_s = 0.5 if kind == "ANSWER_TIMEOUT" else 10.0
-        error = send_refused(connections, sending(wait_s=wait_s))
+        error = send_expecting_error(connections, outgoing(wait_s=wait_s))
         assert error.kind.name == kind
         assert error.answer.ran.value == "unknown"
-        assert send(connections, sending("r2"), never).body == b"fine"
+        assert send(connections, outgoing("r2"), never).body == b"fine"
         assert [len(requests) for requests in received] == [1, 1]
 
 
-def test_a_good_connection_is_used_again_and_bounded():
-    more = "TE: trailers\r\nProxy-Authenticate: x\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n"
-    with scripted(ok("r1", more=more), ok("r2")) as (connections, received):
-        answer = send(connections, sending("r1"), never)
+def test_connections_are_reused_and_limited():
+    extra = (
+        "TE: trailers\r\nProxy-Authenticate: x\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n"
+    )
+    with scripted(ok("r1", extra=extra), ok("r2")) as (connections, received):
+        answer = send(connections, outgoing("r1"), never)
         names = [name for name, _ in answer.headers]
         assert names == ["Tamarackhaven-Request-Id", "Set-Cookie", "Set-Cookie"]
-        send(connections, sending("r2"), never)
+        send(connections, outgoing("r2"), never)
         assert [len(requests) for requests in received] == [2]
         taken = [connections.acquire(boot_s() + 5) for _ in range(4)]
-        error = send_refused(connections, sending())
+        error = send_expecting_error(connections, outgoing())
         assert (error.kind, error.answer.ran.value) == (
             ErrorKind.CONNECTIONS_FULL,
             "no",
@@ -138,11 +143,11 @@
             connections.release(sock, reusable=False)
 
 
-def test_a_late_answer_is_never_given_to_the_next_caller():
-    """An answer nobody read waits in a connection that was taken for idle.
+def test_a_connection_with_unread_input_is_not_reused():
+    """An idle connection holds an unread answer to an earlier request.
 
-    The next caller has the same request id, so the echo alone would not tell. It must
-    get its own answer, over a new connection.
+    The next request has the same id, so the check of the echoed id can't detect the
+    mismatch. It must get its own answer, over a new connection.
     """
     with scripted(ok(), ok(body=b"mine")) as (connections, received):
         sock = connections.acquire(boot_s() + 5)
@@ -150,7 +155,7 @@
         wait_for(lambda: received and received[0])
         connections.release(sock, reusable=True)
         wait_for(lambda: _readable(sock))
-        assert send(connections, sending(), never).body == b"mine"
+        assert send(connections, outgoing(), never).body == b"mine"
         assert len(received) == 2
 
 
@@ -167,15 +172,15 @@
         unused.bind(("127.0.0.1", 0))
         connections = Connections("127.0.0.1", unused.getsockname()[1], 1)
         for _ in range(2):
-            error = send_refused(connections, sending())
+            error = send_expecting_error(connections, outgoing())
             assert error.kind is ErrorKind.TARGET_UNREACHABLE
             assert error.answer.ran.value == "no"
 
 
-def test_a_caller_that_hangs_up_ends_the_exchange():
+def test_a_disconnected_caller_ends_the_request():
     with scripted(b"", b"") as (connections, received):
-        error = send_refused(
-            connections, sending(), lambda: bool(received and received[0])
+        error = send_expecting_error(
+            connections, outgoing(), lambda: bool(received and received[0])
         )
         assert error.kind is ErrorKind.CALLER_GONE
 
@@ -190,16 +195,16 @@
         (Mode.DRIP, "ANSWER_TIMEOUT"),
     ],
 )
-def test_the_stand_in_misbehaves_as_it_is_told(mode, kind):
-    """A target that drips a byte at a time resets a plain timeout with each byte.
+def test_a_misbehaving_target_is_reported_within_the_deadline(mode, kind):
+    """A target that sends one byte at a time restarts a socket timeout with each byte.
 
-    The caller must hear at its deadline, not when the last byte has come.
+    The caller must be answered at its deadline, not after the last byte.
     """
     server = Server(StandinSettings(mode=mode))
     server.start()
     connections = Connections("127.0.0.1", server.port, 2)
     started = time.monotonic()
-    error = send_refused(connections, sending(wait_s=0.4))
+    error = send_expecting_error(connections, outgoing(wait_s=0.4))
     took_s = time.monotonic() - started
     server.stop()
     assert error.kind.name == kind
