--- a/tamarackhaven/_cancel.py
+++ b/tamarackhaven/_cancel.py
@@ -1,8 +1,8 @@
-"""Tells the target that nobody waits for a request any more.
+"""Cancels requests at the target that no caller waits for any more.
 
-``POST /cancel`` with the request id as its body, on the target's own port; a target
-that doesn't know it answers as it likes. The word is a hint that frees a slot early:
-what the caller is told doesn't depend on it.
+It sends ``POST /cancel`` with the request id as its body to the target's port. The
+answer is ignored, since targets needn't support cancellation: it is a hint that frees a
+slot early, and the caller's answer doesn't depend on it.
 """
 
 import threading
@@ -16,35 +16,35 @@
 _ID_SUFFIX = ".cancel"
 _TIMEOUT_S = 0.5
 _MAX_ANSWER_BYTES = 4096
-# Load: a frozen target, where every request ends by its deadline. Harm prevented: a
-# line of cancellations as long as the outage, each holding a connection. Beyond these
-# few the requests run on, as they do at targets that know no cancellation.
-_MOST_WAITING = 32
+# At a frozen target every request reaches its deadline. Without this limit, the backlog
+# of cancellations would grow throughout the outage, and each takes a connection.
+# Requests whose cancellation is dropped run on, as at targets that don't support it.
+_MAX_PENDING = 32
 
 
 class Canceller:
-    """Sends cancellations one after the other, beside the requests."""
+    """Sends cancellations in a background thread, one at a time."""
 
     def __init__(self):
         self._pool = ThreadPoolExecutor(1, thread_name_prefix="cancel")
-        self._room = threading.BoundedSemaphore(_MOST_WAITING)
+        self._pending_slots = threading.BoundedSemaphore(_MAX_PENDING)
 
     def cancel(self, connections, request_id):
-        """Send a cancellation soon, or not at all if too many wait; never blocks."""
-        if not self._room.acquire(blocking=False):
+        """Queue a cancellation, or drop it if too many are pending; never blocks."""
+        if not self._pending_slots.acquire(blocking=False):
             return
         try:
             self._pool.submit(self._send, connections, request_id)
-        except RuntimeError:  # closed meanwhile
-            self._room.release()
+        except RuntimeError:  # the pool was shut down meanwhile
+            self._pending_slots.release()
 
     def close(self):
-        """Drop what waits."""
+        """Drop all pending cancellations."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _send(self, connections, request_id):
-        sending = OutgoingRequest(
-            # An id of its own, so that a target can't take it for the request.
+        outgoing = OutgoingRequest(
+            # A distinct id, so that a target can't confuse it with the request.
             request_id=request_id + _ID_SUFFIX,
             method="POST",
             target=CANCEL_TARGET,
@@ -54,11 +54,11 @@
             max_body_bytes=_MAX_ANSWER_BYTES,
         )
         try:
-            send(connections, sending, _never)
+            send(connections, outgoing, _never)
         except TamarackhavenError:
-            pass  # a hint only; the request's caller has its answer already
+            pass  # only a hint; the caller already has its answer
         finally:
-            self._room.release()
+            self._pending_slots.release()
 
 
 def _never():
--- a/tamarackhaven/_choice.py
+++ b/tamarackhaven/_choice.py
@@ -1,11 +1,11 @@
-"""Which target of a shared service takes a request: the better of two sampled.
+"""Chooses a target of a shared service: the better of two that are sampled.
 
 Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 2001.
 
-Load: many daemons choose at once, from reports that lag.
-Harm: if all took the target that looks best, they would flood it together until the
-next report; if they chose blindly, a slow target would keep its full share.
-Limit: two samples are enough to avoid the slow target and too few to herd.
+Many daemons choose at the same time from delayed load reports. If all chose the target
+that looks best, they would overload it until the next report; if they chose at random,
+a slow target would keep its full share. Two samples are sufficient to avoid a slow
+target and too few for all daemons to choose the same one.
 """
 
 import attrs
@@ -20,21 +20,21 @@
     Parameters
     ----------
     report_weight : float
-        Weight of one request of other daemons, as reported, against one of our own.
-        Reports lag by more than a request takes; at full weight all daemons left the
-        same target, and returned to it, together.
+        Weight of a reported request of other daemons relative to one of this daemon.
+        Reports are delayed by more than the duration of a request; at full weight all
+        daemons left the same target, and returned to it, at the same time.
     report_half_life_s : float
-        Age at which a reported load counts half.
+        Age in seconds at which a reported load counts half.
     latency_half_life_s : float
-        Time in which a latency seen is half forgotten, so that a target that was slow
-        is tried again.
+        Time in seconds after which a measured latency has lost half its weight, so
+        that a target that was slow is tried again.
     latency_weight : float
-        Weight of the newest latency in the mean. Small, since work of mixed length
-        otherwise makes a target look slow for one long request.
+        Weight of the newest latency in the moving mean. It is small because with
+        requests of mixed duration a long one would make a target look slow.
     first_latency_s : float
-        Latency assumed of a target not yet seen, in seconds.
+        Latency assumed for a target without measurements, in seconds.
     other_zone_factor : float
-        Cost of a target in another availability zone, 1 or more.
+        Factor for the cost of targets in other availability zones, 1 or more.
     """
 
     report_weight: float = 0.25
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Candidate:
-    """A target that may be chosen; ``slots`` is what it can run at once now."""
+    """A target that may be chosen; it can run ``slots`` requests at once now."""
 
     target: str
     zone: str
@@ -55,18 +55,18 @@
 
 
 @attrs.define
-class _Seen:
-    """What this daemon knows of one target."""
+class _TargetStats:
+    """Load and latency of one target, as seen by this daemon."""
 
     in_flight: int = 0
     reported: int = 0
-    reported_at: float = float("-inf")
+    reported_at_s: float = float("-inf")
     latency: float = 0.0
-    latency_at: float | None = None
+    latency_at_s: float | None = None
 
 
 class TargetChooser:
-    """Chooses targets for one shared service at one daemon.
+    """Chooses targets of one shared service for one daemon.
 
     Parameters
     ----------
@@ -74,14 +74,14 @@
         Availability zone of this daemon.
     settings : ChoiceSettings
     gate : GateSettings
-        Gives the hard bound on connections to a target.
+        Gives the maximum number of connections to a target.
     """
 
     def __init__(self, zone, settings=None, gate=None):
         self.zone = zone
         self.settings = settings or ChoiceSettings()
         self.gate = gate or GateSettings()
-        self._seen_by_target = {}
+        self._stats_by_target = {}
 
     def choose(self, candidates, now, rng, tried=()):
         """Return the candidate to send to, or None if there is none.
@@ -89,81 +89,81 @@
         Parameters
         ----------
         candidates : list of Candidate
-            Eligible targets without those that are ejected.
+            Eligible targets, without ejected ones.
         now : float
-            In seconds.
+            Current time, in seconds.
         rng : random.Random
-            Draws the sample.
+            Source of the sample.
         tried : collection of str
-            Targets that had this request already.
+            Targets that this request was already sent to.
         """
         free = [c for c in candidates if c.target not in tried and self._has_room(c)]
         pair = rng.sample(free, min(2, len(free)))
         return min(pair, key=lambda c: (self.cost(c, now), c.target), default=None)
 
     def cost(self, candidate, now):
-        """Return the expected time of one more request, in seconds, for comparison."""
-        seen = self._seen_by_target.get(candidate.target) or _Seen()
-        load = (self._load(seen, now) + 1) / candidate.slots
+        """Return the estimated duration of one more request, in seconds."""
+        stats = self._stats_by_target.get(candidate.target) or _TargetStats()
+        load = (self._load(stats, now) + 1) / candidate.slots
         factor = 1.0
         if candidate.zone != self.zone:
             factor = self.settings.other_zone_factor
-        return load * self._latency(seen, now) * factor
+        return load * self._latency(stats, now) * factor
 
     def started(self, target):
         """Count a request that is sent to ``target``."""
-        self._seen(target).in_flight += 1
+        self._stats(target).in_flight += 1
 
     def ended(self, target, latency_s, now):
         """Count the end of a request, however it ended.
 
-        One that was cancelled or timed out counts with the time it took so far: a
-        target that answers nothing must not look fast. One that was refused counts
-        with None, which leaves the latency as it was: a target that refuses at once
-        would look fastest of all and draw the requests that it refuses.
+        ``latency_s`` of a request that was cancelled or timed out is its duration so
+        far, as a target that doesn't answer must not look fast. For a refused request
+        it is None, which leaves the mean unchanged: a target that refuses immediately
+        would otherwise look fastest and attract the requests that it refuses.
         """
-        seen = self._seen(target)
-        seen.in_flight = max(0, seen.in_flight - 1)
+        stats = self._stats(target)
+        stats.in_flight = max(0, stats.in_flight - 1)
         if latency_s is None:
             return
-        if seen.latency_at is not None:
-            mean = self._latency(seen, now)
-            latency_s = mean + self.settings.latency_weight * (latency_s - mean)
-        seen.latency = latency_s
-        seen.latency_at = now
+        if stats.latency_at_s is not None:
+            mean_s = self._latency(stats, now)
+            latency_s = mean_s + self.settings.latency_weight * (latency_s - mean_s)
+        stats.latency = latency_s
+        stats.latency_at_s = now
 
     def report(self, target, report, now):
-        """Take in a ``TargetReport``; an older one than the last is ignored."""
-        seen = self._seen(target)
-        made_at = now - report.age_s
-        if made_at >= seen.reported_at:
-            seen.reported = report.running
-            seen.reported_at = made_at
+        """Record a ``TargetReport`` unless it is older than the last one."""
+        stats = self._stats(target)
+        made_at_s = now - report.age_s
+        if made_at_s >= stats.reported_at_s:
+            stats.reported = report.running
+            stats.reported_at_s = made_at_s
 
     def keep(self, targets):
         """Forget all but these targets."""
-        for target in set(self._seen_by_target) - set(targets):
-            del self._seen_by_target[target]
+        for target in set(self._stats_by_target) - set(targets):
+            del self._stats_by_target[target]
 
     def _has_room(self, candidate):
-        seen = self._seen_by_target.get(candidate.target)
-        return seen is None or seen.in_flight < self.gate.max_connections
+        stats = self._stats_by_target.get(candidate.target)
+        return stats is None or stats.in_flight < self.gate.max_connections
 
-    def _seen(self, target):
-        return self._seen_by_target.setdefault(target, _Seen())
+    def _stats(self, target):
+        return self._stats_by_target.setdefault(target, _TargetStats())
 
-    def _load(self, seen, now):
-        """Return requests at the target: our own, and a part of others by age."""
-        age = max(0.0, now - seen.reported_at)
-        kept = 0.5 ** (age / self.settings.report_half_life_s)
-        others = max(0, seen.reported - seen.in_flight)
-        return seen.in_flight + self.settings.report_weight * kept * others
+    def _load(self, stats, now):
+        """Return this daemon's requests at the target plus weighted ones of others."""
+        age = max(0.0, now - stats.reported_at_s)
+        decay = 0.5 ** (age / self.settings.report_half_life_s)
+        others = max(0, stats.reported - stats.in_flight)
+        return stats.in_flight + self.settings.report_weight * decay * others
 
-    def _latency(self, seen, now):
-        """Return the latency seen, falling towards the assumed one with age."""
+    def _latency(self, stats, now):
+        """Return the mean latency in seconds, decayed by age to the assumed one."""
         first = self.settings.first_latency_s
-        if seen.latency_at is None:
+        if stats.latency_at_s is None:
             return first
-        age = max(0.0, now - seen.latency_at)
-        kept = 0.5 ** (age / self.settings.latency_half_life_s)
-        return first + (seen.latency - first) * kept
+        age = max(0.0, now - stats.latency_at_s)
+        decay = 0.5 ** (age / self.settings.latency_half_life_s)
+        return first + (stats.latency - first) * decay
--- a/tamarackhaven/_failure_points.py
+++ b/tamarackhaven/_failure_points.py
@@ -139,7 +139,7 @@
 }
 
 
-def end_of(kind):
+def gate_end(kind):
     """Return how an admitted request that failed with ``kind`` ended for the gate.
 
     One that was refused after it had been admitted, and never sent, is given up: it
--- a/tamarackhaven/_forward.py
+++ b/tamarackhaven/_forward.py
@@ -1,4 +1,4 @@
-"""Filter: hand a request to the owner's daemon, and its answer back."""
+"""Filter that forwards a request to the owner's daemon and returns its answer."""
 
 import threading
 
@@ -9,25 +9,26 @@
 from tamarackhaven._send import Connections, OutgoingRequest, send
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# A daemon's own error answers must fit also where a service allows tiny bodies.
-_LEAST_BODY_BYTES = 16 * 1024
+# A daemon's error answers must fit even if the service allows only smaller bodies.
+_MIN_BODY_LIMIT_BYTES = 16 * 1024
 _KIND_BY_CODE = {kind.value: kind for kind in ErrorKind}
-# What `send` says of a target, said of a daemon.
-_KIND_OF_DAEMON = {
+# `send` reports failures of targets; these are their equivalents for a daemon.
+_FORWARD_KIND_BY_SEND_KIND = {
     ErrorKind.TARGET_SENT_NOTHING: ErrorKind.FORWARD_LOST,
     ErrorKind.ANSWER_SHORT: ErrorKind.FORWARD_LOST,
 }
-_MOST_PEERS = 2000
+_MAX_PEERS = 2000
 
 
 class Forwarder:
-    """Connections to other daemons, by address.
+    """Forwards requests over a pool of connections to each other daemon.
 
     Parameters
     ----------
     limit : int
-        Most connections to one daemon; two for each thread suffice, as a cancelled
-        try ends a moment after the one that was quicker.
+        Maximum number of connections to one daemon. Two for each thread suffice: a
+        hedged request has two tries, and the cancelled one ends shortly after the
+        other.
     """
 
     def __init__(self, limit):
@@ -36,24 +37,25 @@
         self._connections_by_address = {}
 
     def forward(self, request, located, gone):
-        """Return the answer of the owner's daemon, whatever it is.
+        """Return the answer of the owner's daemon, unless this daemon may retry it.
 
         Raises
         ------
         TamarackhavenError
-            OWNER_UNREACHABLE or CONNECTIONS_FULL (did not run), or what the owner's
-            daemon refused as not its own; else FORWARD_LOST, ANSWER_TIMEOUT,
-            ANSWER_TOO_LARGE, ANSWER_MISMATCH or CALLER_GONE (unknown).
+            OWNER_UNREACHABLE or CONNECTIONS_FULL if the request did not run; an error
+            of the owner's daemon after which this one may try again; DEADLINE_PAST; or
+            FORWARD_LOST, ANSWER_TIMEOUT, ANSWER_TOO_LARGE, ANSWER_MISMATCH or
+            CALLER_GONE if it is unknown whether the request ran.
         """
         connections = self._connections(located.owner.peer)
         try:
-            answer = send(connections, _sending(request, located), gone)
+            answer = send(connections, _outgoing(request, located), gone)
         except TamarackhavenError as error:
-            kind = _KIND_OF_DAEMON.get(error.kind, error.kind)
+            kind = _FORWARD_KIND_BY_SEND_KIND.get(error.kind, error.kind)
             raise TamarackhavenError(kind, error.detail) from error
         kind = _KIND_BY_CODE.get(answer.header(names.ERROR_HEADER))
-        if kind in _raised_kinds(located.mode):
-            detail = f"{located.owner.target} said so."
+        if kind in _retryable_kinds(located.mode):
+            detail = f"{located.owner.target} refused the request."
             raise TamarackhavenError(kind, detail, _retry_after_s(answer))
         return answer
 
@@ -65,21 +67,21 @@
 
     def _connections(self, address):
         with self._lock:
-            known = self._connections_by_address.get(address)
-            if known is None:
-                self._forget_some()
-                known = Connections(
+            connections = self._connections_by_address.get(address)
+            if connections is None:
+                self._evict_oldest_if_full()
+                connections = Connections(
                     address.host,
                     address.port,
                     self._limit,
                     ErrorKind.OWNER_UNREACHABLE,
                 )
-                self._connections_by_address[address] = known
-            return known
+                self._connections_by_address[address] = connections
+            return connections
 
-    def _forget_some(self):
-        """Bound the table: daemons come and go, with new ports."""
-        if len(self._connections_by_address) >= _MOST_PEERS:
+    def _evict_oldest_if_full(self):
+        """Close the oldest pool at the limit; restarted daemons may use new ports."""
+        if len(self._connections_by_address) >= _MAX_PEERS:
             oldest = next(iter(self._connections_by_address))
             self._connections_by_address.pop(oldest).close()
 
@@ -89,17 +91,17 @@
     return int(value) / 1000 if value.isdigit() else 0.0
 
 
-def _raised_kinds(mode):
-    """Return the refusals of another daemon after which this one may try again.
+def _retryable_kinds(mode):
+    """Return the error kinds of another daemon after which this one may try again.
 
-    All other answers are passed on as they are, with their exact Retry-After.
+    All other answers are returned unchanged, with their exact Retry-After.
     """
     if mode is PolicyMode.SHARED:
         return RELOCATED_KINDS | REFUSED_KINDS | LOST_KINDS
     return RELOCATED_KINDS | {ErrorKind.CANCELLED}
 
 
-def _sending(request, located):
+def _outgoing(request, located):
     left_ms = int((request.deadline_s - boot_s()) * 1000)
     if left_ms <= 0:
         raise TamarackhavenError(ErrorKind.DEADLINE_PAST)
@@ -114,7 +116,7 @@
         headers.append((names.EPOCH_HEADER, str(located.grant.grant)))
     if request.first_sent_s is not None:
         headers.append((names.FIRST_SENT_HEADER, f"{request.first_sent_s:.6f}"))
-    limit = max(located.service.max_body_bytes, _LEAST_BODY_BYTES)
+    limit = max(located.service.max_body_bytes, _MIN_BODY_LIMIT_BYTES)
     return OutgoingRequest(
         request_id=request.request_id,
         method=request.method,
--- a/tamarackhaven/_hedge.py
+++ b/tamarackhaven/_hedge.py
@@ -1,10 +1,11 @@
-"""A second try beside a slow first one, for idempotent requests of shared services.
-
-Load: a target is a straggler for moments, which its reports reveal only late.
-Harm: one request in a hundred waits ten times as long; but a second try for each slow
-request would double the load of a system that is slow because it is full.
-Limit: only after the time in which nearly all requests are answered, out of the retry
-budget of the daemon, one second try at most, and the loser is cancelled.
+"""Hedges slow tries of idempotent requests to shared services with a second try.
+
+A target may be slow for short periods that its load reports show only late, and then
+one request in a hundred takes ten times as long. A second try for every slow request,
+however, would double the load on a system that is slow because it is overloaded.
+Therefore a hedge starts only after the time in which nearly all requests are answered,
+is paid for from the daemon's retry budget, and is the only one of its request. The
+slower try is cancelled.
 """
 
 import attrs
@@ -15,14 +16,14 @@
 
 @attrs.frozen
 class HedgeSettings:
-    """When a second try starts.
+    """Limits on when a second try starts.
 
     Parameters
     ----------
     min_delay_s : float
-        Shortest wait for the first try, in seconds, however fast the service is.
+        Minimum delay after the first try, in seconds, even if the service is faster.
     min_left_s : float
-        Least time before the deadline that makes a second try worth while.
+        Minimum time left before the deadline for a second try, in seconds.
     """
 
     min_delay_s: float = 0.002
@@ -31,7 +32,7 @@
 
 @attrs.frozen
 class Settled:
-    """Answer the caller with that of ``winner``, and cancel the try at ``cancel``.
+    """Answer the caller with the answer of ``winner``; cancel the try at ``cancel``.
 
     ``cancel`` is empty if no other try is running.
     """
@@ -40,34 +41,34 @@
     cancel: str = ""
 
 
-def hedge_delay(mode, idempotent, latency_s, settings):
-    """Return when to start a second try, in seconds after the first, or None.
+def hedge_delay(mode, is_idempotent, latency_s, settings):
+    """Return the delay of a second try after the first, in seconds, or None.
 
     Parameters
     ----------
     mode : PolicyMode
-        Keys of an exclusive service have one owner, so there is no other target.
-    idempotent : bool
-        A request that may not run twice never has a second try beside the first.
+        Ownership mode. A key of an exclusive service has no other target to try.
+    is_idempotent : bool
+        Whether the request may run twice; otherwise it is never hedged.
     latency_s : float
         A high quantile, such as the 95th percentile, of the service's latency.
     settings : HedgeSettings
-        Bounds the delay.
+        Gives the minimum delay.
     """
-    if mode is PolicyMode.EXCLUSIVE or not idempotent:
+    if mode is PolicyMode.EXCLUSIVE or not is_idempotent:
         return None
     return max(settings.min_delay_s, latency_s)
 
 
 def may_hedge(budget, now, deadline_s, settings):
-    """Return whether the second try may start now; if so it is paid for."""
+    """Return whether a second try may start now; if so, spend a retry token."""
     if deadline_s - now < settings.min_left_s:
         return False
     return budget.spend(RetryReason.HEDGE, now)
 
 
 class HedgedRequest:
-    """The one or two tries of one request.
+    """Tracks the one or two tries of a request.
 
     Parameters
     ----------
@@ -80,19 +81,25 @@
         self.settled = None
 
     def hedge(self, target):
-        """Note that the second try has started; only one may."""
+        """Record the start of the second try.
+
+        Raises
+        ------
+        ValueError
+            There was a second try already, or the first isn't running.
+        """
         if self.settled or target in self.running or len(self.running) != 1:
-            raise ValueError("a second try needs one first try that is running")
+            raise ValueError("a second try requires that only the first one is running")
         self.running.append(target)
 
     def ended(self, target, answered):
-        """Note the end of a try.
+        """Record the end of a try.
 
         Returns
         -------
         Settled or None
-            None while another try is running, and for anything after the answer: a
-            late answer of the loser must not reach the caller as a second one.
+            None while another try may still answer, and for each try that ends after
+            the request was settled, so that the caller gets one answer only.
         """
         if self.settled or target not in self.running:
             return None
--- a/tamarackhaven/_outliers.py
+++ b/tamarackhaven/_outliers.py
@@ -1,9 +1,9 @@
-"""Outlier ejection: targets of a shared service that fail or are far slower.
+"""Ejects targets of a shared service that fail or are far slower than the others.
 
-Load: one target is frozen, broken or a straggler while the others are well.
-Harm: its share of requests fails or waits; but to eject many would put their load on
-the few that are left, and an overload would look like all of them failing.
-Limit: a cap on how many are out at once, a time out that doubles, and a way back.
+If one target is frozen, broken or slow, its share of requests fails or is delayed.
+Ejecting many targets, however, would put their load on the few that remain, and in an
+overload all targets seem to fail. Therefore the number of targets ejected at once is
+limited, and each returns after a time that doubles with every ejection.
 """
 
 import statistics
@@ -18,18 +18,19 @@
     Parameters
     ----------
     failures : int
-        Failures in a row.
+        Consecutive failures after which a target is ejected.
     slow_factor : float
-        Latency as a multiple of the median of the targets.
+        Latency, as a multiple of the median of all targets, above which a target is
+        ejected.
     min_samples : int
-        Answers since the target's return before its latency is judged.
+        Requests since the target's last ejection before its latency is compared.
     latency_weight : float
         Weight of the newest latency in the mean.
     max_share : float
-        Largest share of targets out at once, rounded down; one of two or three may
-        be out.
+        Maximum fraction of targets ejected at once, rounded down, but at least one of
+        two or three targets.
     base_s, max_s : float
-        First and longest time out, in seconds.
+        First and maximum duration of an ejection, in seconds.
     """
 
     failures: int = 5
@@ -45,13 +46,13 @@
 class _Health:
     failures: int = 0
     samples: int = 0
-    latency: float = 0.0
+    latency_s: float = 0.0
     ejections: int = 0
-    out_until: float = 0.0
+    ejected_until_s: float = 0.0
 
 
 class OutlierEjector:
-    """Tracks the targets of one shared service.
+    """Tracks the health of the targets of one shared service.
 
     Parameters
     ----------
@@ -64,7 +65,7 @@
         self.capped = 0
 
     def keep(self, targets):
-        """Track exactly these targets."""
+        """Track exactly these targets and forget all others."""
         present = dict.fromkeys(targets)
         for target in set(self._health_by_target) - set(present):
             del self._health_by_target[target]
@@ -72,21 +73,21 @@
             self._health_by_target.setdefault(target, _Health())
 
     def ejected(self, now):
-        """Return the names of the targets that are out at ``now``."""
+        """Return the names of the targets that are ejected at ``now``, in seconds."""
         return {
             target
             for target, health in self._health_by_target.items()
-            if health.out_until > now
+            if health.ejected_until_s > now
         }
 
     def record(self, target, ok, latency_s, now):
-        """Count one request that ended; return whether its target was ejected.
+        """Record the end of a request; return whether its target was ejected for it.
 
-        A refusal by the target's own word counts as ok: a target that sheds is busy,
-        not broken, and to eject it would move the overload to the others.
+        A refusal sent by the target itself counts as ok: the target is busy, not
+        broken, and ejecting it would move the overload to the others.
         """
         health = self._health_by_target.get(target)
-        if health is None or health.out_until > now:
+        if health is None or health.ejected_until_s > now:
             return False
         self._count(health, ok, latency_s)
         if not self._is_outlier(health):
@@ -97,38 +98,42 @@
         health.failures = 0 if ok else health.failures + 1
         health.samples += 1
         weight = max(self.settings.latency_weight, 1.0 / health.samples)
-        health.latency += weight * (latency_s - health.latency)
+        health.latency_s += weight * (latency_s - health.latency_s)
         if health.samples == 10 * self.settings.min_samples:
             health.ejections = 0
 
     def _is_outlier(self, health):
         if health.failures >= self.settings.failures:
             return True
-        return self._is_judged(health) and health.latency > self._slow()
+        return (
+            self._has_min_samples(health) and health.latency_s > self._max_latency_s()
+        )
 
-    def _is_judged(self, health):
+    def _has_min_samples(self, health):
         return health.samples >= self.settings.min_samples
 
-    def _slow(self):
-        """Return the latency above which a target is an outlier.
+    def _max_latency_s(self):
+        """Return the latency in seconds above which a target is an outlier.
 
-        By the median of all: when all are slow nobody is an outlier. With fewer than
-        three targets there is no telling which of them is.
+        It depends on the median of all targets, so there is no outlier if all are
+        slow. With fewer than three targets the outlier can't be determined.
         """
-        known = [h.latency for h in self._health_by_target.values() if h.samples]
-        if len(known) < 3:
+        latencies_s = [
+            h.latency_s for h in self._health_by_target.values() if h.samples
+        ]
+        if len(latencies_s) < 3:
             return float("inf")
-        return self.settings.slow_factor * statistics.median(known)
+        return self.settings.slow_factor * statistics.median(latencies_s)
 
     def _eject(self, health, now):
         count = len(self._health_by_target)
-        cap = max(1, int(count * self.settings.max_share))
-        if count < 2 or len(self.ejected(now)) >= cap:
+        max_ejected = max(1, int(count * self.settings.max_share))
+        if count < 2 or len(self.ejected(now)) >= max_ejected:
             self.capped += 1
             return False
-        time_out = self.settings.base_s * 2.0**health.ejections
-        health.out_until = now + min(self.settings.max_s, time_out)
+        ejection_s = self.settings.base_s * 2.0**health.ejections
+        health.ejected_until_s = now + min(self.settings.max_s, ejection_s)
         health.ejections = min(health.ejections + 1, 32)
         health.failures = health.samples = 0
-        health.latency = 0.0
+        health.latency_s = 0.0
         return True
--- a/tamarackhaven/_owner.py
+++ b/tamarackhaven/_owner.py
@@ -1,4 +1,4 @@
-"""Serving a request at its owner: verify, look up the booking, admit, send."""
+"""Serves a request at its owner: verify, look up the booking, admit, send."""
 
 import hashlib
 
@@ -7,7 +7,7 @@
 from tamarackhaven import _request as names
 from tamarackhaven._failure_points import (
     BOOKING_END_BY_RAN,
-    end_of,
+    gate_end,
     says_not_run,
 )
 from tamarackhaven._gate_messages import End
@@ -33,7 +33,7 @@
 
 
 class Owner:
-    """The way of a request at the daemon whose target owns its key.
+    """Serves requests at the daemon whose target owns their keys.
 
     Parameters
     ----------
@@ -42,21 +42,23 @@
     standing : callable
         Returns this daemon's ``Standing``.
     lease : Lease
-        The target's lease.
+        The lease of this daemon's target.
     grants : Grants
-        The shards that it owns.
+        The shards that the target owns.
     ledger : Ledger
-        Its bookings, called under ``ledger_lock``.
+        The target's bookings.
+    ledger_lock : Lock
+        Held for each call of ``ledger``.
     target : callable
         Returns the pair of ``Admission`` and ``Connections``.
     canceller : Canceller
-        Tells the target what nobody waits for.
+        Cancels requests at the target that no caller waits for.
     clock : Clock
-        Both clocks.
+        Times requests and bookings.
     note_key : callable
-        Told the key hash of every request that this target owns.
+        Called with the key hash of each request for a key of this target.
     silence : Silence
-        Says whether the target is hung.
+        Detects whether the target is hung.
     """
 
     def __init__(
@@ -86,12 +88,13 @@
         self._silence = silence
 
     def serve(self, request, located, gone):
-        """Return the target's whole answer.
+        """Return the whole answer of this daemon's target.
 
         Raises
         ------
         TamarackhavenError
-            Any kind from the lease to the target; its row says whether it ran.
+            Any kind raised between the lease check and the end of the answer; its
+            ``answer`` says whether the request ran.
         """
         self._verify(located)
         self._note_key(request.key_hash)
@@ -101,7 +104,7 @@
             self._grants.enter(located.grant, request.key_hash)
         try:
             if request.is_booking:
-                return self._book(request, located, gone)
+                return self._run_booking(request, located, gone)
             return self._run(request, located, gone)
         finally:
             self._grants.leave(located.grant, request.key_hash)
@@ -110,25 +113,27 @@
         now = self._clock.boot_s()
         verify(located, self._standing(), self._lease, self._settings.stale_s, now)
 
-    def _book(self, request, located, gone):
+    def _run_booking(self, request, located, gone):
         booking = booking_try(request, located)
         with self._ledger_lock:
-            begun = self._ledger.begin(booking, self._clock.unix_s())
-        if isinstance(begun, BookingRefused):
-            raise TamarackhavenError(begun.kind, "", self._retry_after_s(begun.kind))
-        if isinstance(begun, Replay):
-            return _replayed(begun.answer, request)
+            outcome = self._ledger.begin(booking, self._clock.unix_s())
+        if isinstance(outcome, BookingRefused):
+            raise TamarackhavenError(
+                outcome.kind, "", self._retry_after_s(outcome.kind)
+            )
+        if isinstance(outcome, Replay):
+            return _replay(outcome.answer, request)
         end, kept = BookingEnd.UNKNOWN, None
         try:
             answer = self._run(request, located, gone)
-            end, kept = BookingEnd.ANSWERED, _kept(answer)
+            end, kept = BookingEnd.ANSWERED, _to_booking_answer(answer)
             return answer
         except TamarackhavenError as error:
             end = BOOKING_END_BY_RAN[error.answer.ran]
             raise
         finally:
             with self._ledger_lock:
-                self._ledger.finish(begun.token, end, kept, self._clock.unix_s())
+                self._ledger.finish(outcome.token, end, kept, self._clock.unix_s())
 
     def _retry_after_s(self, kind):
         if kind is ErrorKind.BOOKING_OWNER_CHANGED:
@@ -139,52 +144,53 @@
 
     def _run(self, request, located, gone):
         admission, connections = self._target()
-        decision_id = _admitted(admission, request, gone)
+        decision_id = _admit(admission, request, gone)
         start_s = self._clock.boot_s()
         end = End.GIVEN_UP
         try:
-            # The lease may have ended while the request waited.
+            # The lease may have expired while the request was queued.
             self._verify(located)
             answer = self._send(request, located, connections, gone)
-            end = _end_of(answer)
+            end = _gate_end_of_answer(answer)
         except TamarackhavenError as error:
-            end = end_of(error.kind)
-            if error.kind in _CANCELLED_BY_US:
+            end = gate_end(error.kind)
+            if error.kind in _KINDS_TO_CANCEL:
                 self._canceller.cancel(connections, request.request_id)
             raise
         finally:
             admission.leave(decision_id, end, self._clock.boot_s() - start_s)
         if end is End.SHED:
-            raise _shed(answer)
-        return _passed_on(answer)
+            raise _shed_error(answer)
+        return _answer_for_caller(answer)
 
     def _send(self, request, located, connections, gone):
-        # A booking in flight is not abandoned with its caller: the answer goes into
-        # the ledger, so that its next try gets it and not "unknown".
+        # A booking in flight continues when its caller disconnects: its answer is
+        # recorded in the ledger, so that a retry gets it instead of "unknown".
         if request.is_booking:
             gone = _never
-        sending = OutgoingRequest(
+        outgoing = OutgoingRequest(
             request_id=request.request_id,
             method=request.method,
             target=request.target,
-            headers=(*request.headers, *self._fence(request, located)),
+            headers=(*request.headers, *self._fence_headers(request, located)),
             body=request.body,
             deadline_s=request.deadline_s,
             max_body_bytes=located.service.max_body_bytes,
         )
-        return self._send_heard(connections, sending, gone)
+        return self._send_unless_hung(connections, outgoing, gone)
 
-    def _send_heard(self, connections, sending, gone):
-        """Send; end at once, in doubt, when the target is found hung.
+    def _send_unless_hung(self, connections, outgoing, gone):
+        """Send a request; raise CANCELLED as soon as the target is detected as hung.
 
-        Its shards are given up by then, so its callers aren't held until their
-        deadlines: a lookup may be answered by the next owner.
+        It is unknown then whether the request ran. The hung target's shards have been
+        released, so callers needn't wait until their deadlines: the next owner may
+        answer a lookup.
         """
         watch = _HangWatch(self._silence, gone)
         self._silence.began(self._clock.boot_s())
         answered = False
         try:
-            answer = send(connections, sending, watch)
+            answer = send(connections, outgoing, watch)
             answered = True
             return answer
         except TamarackhavenError as error:
@@ -195,11 +201,12 @@
         finally:
             self._silence.ended(answered, self._clock.boot_s())
 
-    def _fence(self, request, located):
-        """Return the headers by which a target refuses what comes too late.
+    def _fence_headers(self, request, located):
+        """Return the headers that let a target refuse a request that arrives too late.
 
-        A daemon that freezes between the check of its lease and the send wakes up when
-        another target owns the key. A target that checks these refuses the request.
+        A daemon that is paused between the lease check and the send may resume when
+        another target owns the key. A target that checks these headers refuses the
+        request.
         """
         now = self._clock.boot_s()
         start_by_s = min(self._lease.held_until(now), request.deadline_s)
@@ -216,14 +223,14 @@
         )
 
 
-# The target may still be at it.
-_CANCELLED_BY_US = frozenset(
+# After these the target may still be working on the request.
+_KINDS_TO_CANCEL = frozenset(
     {ErrorKind.ANSWER_TIMEOUT, ErrorKind.CALLER_GONE, ErrorKind.CANCELLED}
 )
 
 
 class _HangWatch:
-    """Says whether a try at the target is to be ended, and notes why."""
+    """Stops a try when the target is hung or the caller gone; records which."""
 
     def __init__(self, silence, gone):
         self._silence = silence
@@ -240,33 +247,33 @@
     return False
 
 
-def _admitted(admission, request, gone):
+def _admit(admission, request, gone):
     try:
         return admission.enter(request, gone)
     except TamarackhavenError as error:
         if error.kind is ErrorKind.CALLER_GONE:
-            # The table says unknown; here it is known that nothing was sent.
+            # The error table says unknown, but here nothing has been sent.
             raise WithdrawnError from error
         raise
 
 
 class WithdrawnError(TamarackhavenError):
-    """The caller hung up while its request waited; it did not run."""
+    """The caller disconnected while its request was queued; it did not run."""
 
     def __init__(self):
-        super().__init__(ErrorKind.CALLER_GONE, "It was still waiting.")
+        super().__init__(ErrorKind.CALLER_GONE, "The request was still queued.")
 
     @property
     def answer(self):
-        """The row of the table, with "did not run"."""
+        """The row of the error table, changed to "did not run"."""
         return attrs.evolve(super().answer, ran=Ran.NO)
 
 
 def booking_try(request, located):
-    """Return the ledger's view of a booking.
+    """Return the ``BookingTry`` by which the ledger identifies a booking.
 
-    Two requests with the same idempotency key are the same booking only if method,
-    path and body agree.
+    Two requests with the same idempotency key are the same booking only if their
+    method, path and body are equal.
     """
     digest = hashlib.blake2b(digest_size=16)
     for part in (request.method.encode(), request.target.encode(), request.body):
@@ -276,8 +283,8 @@
         service=request.service,
         shard=located.grant.shard,
         grant=located.grant.grant,
-        # Keys of one shard share a ledger; the same idempotency key under another
-        # key is another booking.
+        # The keys of a shard share one ledger; the same idempotency key with another
+        # routing key is another booking.
         idempotency_key=f"{request.key_hash:x}/{request.idempotency_key}",
         digest=digest.digest(),
         first_sent_s=request.first_sent_s,
@@ -285,11 +292,11 @@
     )
 
 
-def _kept(answer):
+def _to_booking_answer(answer):
     return BookingAnswer(answer.status, answer.headers, answer.body)
 
 
-def _replayed(kept, request):
+def _replay(kept, request):
     headers = [
         (name, value)
         for name, value in kept.headers
@@ -301,18 +308,18 @@
     return HttpAnswer(kept.status, tuple(headers), kept.body)
 
 
-def _end_of(answer):
+def _gate_end_of_answer(answer):
     value = answer.header(names.DID_NOT_RUN_HEADER)
     return End.SHED if says_not_run(answer.status, [value]) else End.ANSWERED
 
 
-def _shed(answer):
+def _shed_error(answer):
     value = answer.header(names.RETRY_AFTER_HEADER)
     retry_after_s = float(value) if value.isdigit() else 0.0
     return TamarackhavenError(ErrorKind.TARGET_REFUSED, "", retry_after_s)
 
 
-def _passed_on(answer):
+def _answer_for_caller(answer):
     headers = [
         (name, value)
         for name, value in answer.headers
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -1,39 +1,39 @@
-"""The way of a request whose key has one owner: serve it there, or at the next one."""
+"""Routes requests of exclusive services to the owner of their key."""
 
 import threading
 
-from tamarackhaven._retries import doubtful
+from tamarackhaven._retries import least_certain_error
 from tamarackhaven._retry import RELOCATED_KINDS, RetryRefusal
 from tamarackhaven._verify import is_owner
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 NO_OWNER_RETRY_S = 0.5
-_WAIT_STEP_S = 0.01
-# Another owner may answer after these; after all others only the same one could.
-_AT_NEXT_OWNER = RELOCATED_KINDS | {ErrorKind.FORWARD_LOST, ErrorKind.CANCELLED}
+_POLL_INTERVAL_S = 0.01
+# After these another owner may answer; after all others only the same one could.
+_NEXT_OWNER_KINDS = RELOCATED_KINDS | {ErrorKind.FORWARD_LOST, ErrorKind.CANCELLED}
 
 
 class OwnerRoute:
-    """Serves or forwards to the owner, and once more when the key has another.
+    """Serves or forwards a request, and retries it when its key has a new owner.
 
     Parameters
     ----------
     settings : DaemonSettings
-        For ``forward_wait_ms`` and ``threads``.
+        Gives ``forward_wait_ms``, ``threads`` and this daemon's target.
     view : View
-        The state.
+        The shared state as this daemon knows it.
     owner : Owner
-        Serves what this daemon's target owns.
+        Serves keys that this daemon's target owns.
     forwarder : Forwarder
-        Hands on the rest.
+        Forwards requests for all other keys.
     standing : callable
         Returns this daemon's ``Standing``.
     retries : Retries
-        The budget.
+        The retry budget of exclusive services.
     metrics : Metrics
-        Gets the latency of the target that answered.
+        Records latencies by target.
     clock : Clock
-        Both clocks.
+        Measures latencies and bounds the wait for a new grant.
     """
 
     def __init__(
@@ -48,21 +48,23 @@
         self._metrics = metrics
         self._clock = clock
         self._lock = threading.Lock()
-        # A key without an owner makes all its callers wait. Were every thread to
-        # wait, requests for all other keys would be late too, so half of them may.
-        self._most_waiting = max(1, settings.threads // 2)
+        # All callers of a key without an owner wait. If every thread waited for one,
+        # requests for all other keys would be delayed too, so at most half may wait.
+        self._max_waiting = max(1, settings.threads // 2)
         self.waiting = 0
 
     def answer(self, request, located, gone):
-        """Return the answer of the key's owner, or of its next one."""
+        """Return the answer of the key's owner, or of the next one after a failure."""
         attempts, error = 0, None
         while True:
             attempts += 1
             try:
-                answer = self._once(request, located, gone)
+                answer = self._try_once(request, located, gone)
             except TamarackhavenError as failure:
-                error = doubtful(error, failure)
-                located = self._next(request, located, failure, attempts, gone)
+                error = least_certain_error(error, failure)
+                located = self._find_next_owner(
+                    request, located, failure, attempts, gone
+                )
                 if located is None:
                     raise error from failure
             else:
@@ -72,9 +74,9 @@
 
     def serve(self, request, located, gone):
         """Return the answer of this daemon's own target."""
-        return self._timed(request, located, self._owner.serve, gone)
+        return self._run_timed(request, located, self._owner.serve, gone)
 
-    def _once(self, request, located, gone):
+    def _try_once(self, request, located, gone):
         if located.owner is None:
             detail = f"Shard {located.grant.shard}."
             raise TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_OWNER_RETRY_S)
@@ -84,15 +86,16 @@
             located.owner.service == self._settings.service
         ):
             raise TamarackhavenError(ErrorKind.FORWARD_LOOP)
-        return self._timed(request, located, self._forward, gone)
+        return self._run_timed(request, located, self._forward, gone)
 
     def _forward(self, request, located, gone):
-        """Forward; a lookup is given up when its key has another owner.
+        """Forward a request; abandon a lookup when its key has another owner.
 
-        Failure: the owner's daemon froze after it took the lookup. Symptom: the
-        caller waits until its deadline though another target owns the key by now.
-        Enough, because the view shows that owner as soon as the group has fenced the
-        frozen one. A booking waits on: it may have run, and must not run elsewhere.
+        If the owner's daemon freezes after it received a lookup, the caller would wait
+        until its deadline although another target owns the key. Watching the view is
+        sufficient, because it shows the new owner as soon as the control group has
+        fenced the frozen one. A booking isn't abandoned: it may have run and must not
+        run elsewhere.
         """
         if request.is_booking:
             return self._forwarder.forward(request, located, gone)
@@ -105,34 +108,34 @@
             detail = "The key has another owner."
             raise TamarackhavenError(ErrorKind.FORWARD_LOST, detail) from error
 
-    def _timed(self, request, located, step, gone):
-        """Run the step and record the latency under the target that answered."""
+    def _run_timed(self, request, located, step, gone):
+        """Call ``step`` and record its latency for the target that answered."""
         answer = step(request, located, gone)
         seconds = self._clock.boot_s() - request.received_s
         target = located.grant.owner
         self._metrics.observe(seconds, service=request.service, target=target)
         return answer
 
-    def _next(self, request, located, error, attempts, gone):
-        """Return where to try again, or None if the caller is to hear of the error."""
-        # Where lookups are lost at the target itself, its owner is the same as before;
-        # to ask it again would load a target that fails.
-        if error.kind not in _AT_NEXT_OWNER:
-            self._retries.refuse(RetryRefusal.ONLY_OWNER)
+    def _find_next_owner(self, request, located, error, attempts, gone):
+        """Return where to try again, or None if the caller gets the error."""
+        # When the target itself loses a request, the key still has the same owner;
+        # trying it again would add load to a failing target.
+        if error.kind not in _NEXT_OWNER_KINDS:
+            self._retries.count_refusal(RetryRefusal.ONLY_OWNER)
             return None
         if not self._retries.allows(error, request, attempts):
             return None
         newer = self.wait_for_newer_grant(request, located, gone)
         if newer is None:
-            self._retries.give_back()
+            self._retries.refund()
             return None
         self._retries.started(error)
         return newer
 
     def wait_for_newer_grant(self, request, located, gone):
-        """Wait a bounded time for another grant of the key; None if none came."""
+        """Wait a limited time for a newer grant of the key; return None without one."""
         with self._lock:
-            if self.waiting >= self._most_waiting:
+            if self.waiting >= self._max_waiting:
                 return None
             self.waiting += 1
         try:
@@ -149,12 +152,12 @@
             newer = find_newer_grant(self._view, request, located)
             if newer is not None:
                 return newer
-            pause.wait(_WAIT_STEP_S)
+            pause.wait(_POLL_INTERVAL_S)
         return None
 
 
 class _OwnerWatch:
-    """Says whether a forwarded lookup is to be given up, and notes why."""
+    """Stops a forwarded lookup when its key changes owner; records whether it did."""
 
     def __init__(self, view, request, located, gone):
         self._view = view
@@ -175,7 +178,7 @@
 
 
 def find_newer_grant(view, request, located):
-    """Return where the key is by a newer grant that has an owner, or None."""
+    """Return the key's location by a newer grant with an owner, or None."""
     newer = view.locate(request.service, request.key_hash)
     if newer.owner is None or newer.grant.grant <= located.grant.grant:
         return None
--- a/tamarackhaven/_path.py
+++ b/tamarackhaven/_path.py
@@ -11,7 +11,7 @@
 from tamarackhaven._locate import locate
 from tamarackhaven._model import PolicyMode
 from tamarackhaven._refusals import Refusal, RefusalRecord
-from tamarackhaven._shared_route import at_member, refuse_booking
+from tamarackhaven._shared_route import locate_at_member, refuse_booking
 from tamarackhaven._verify import is_owner
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
@@ -158,7 +158,7 @@
             raise TamarackhavenError(
                 ErrorKind.NOT_OWNER, "This daemon's target doesn't serve this service."
             )
-        return at_member(located, member)
+        return locate_at_member(located, member)
 
     def _locate(self, request):
         request, located = locate(request, self._view)
--- a/tamarackhaven/_refusals.py
+++ b/tamarackhaven/_refusals.py
@@ -1,12 +1,12 @@
-"""The newest refused requests of a daemon, for ``explain``."""
+"""Records a daemon's newest refused requests for the ``explain`` command."""
 
 import collections
 import threading
 
 import attrs
 
-# At a thousand refusals a second this is the last second or two; the log, which is
-# limited by sentence, keeps samples of older ones.
+# At a thousand refusals a second this covers the last one or two seconds. The log,
+# whose rate is limited by sentence, has samples of older ones.
 REFUSALS_KEPT = 2000
 
 
@@ -17,15 +17,15 @@
     Parameters
     ----------
     request_id, decision_id : str
-        As the caller and the logs have them; the first may be empty.
+        Ids returned to the caller and logged; ``request_id`` may be empty.
     at_unix_s : float
         Wall-clock time, in seconds.
     code, name : str
-        Of the ``ErrorKind``.
+        Code and name of the ``ErrorKind``.
     detail : str
-        What exactly was wrong.
+        Specific reason of the refusal.
     map_version : int
-        Version of the state that the daemon decided by.
+        Version of the state on which the decision was based.
     """
 
     request_id: str
@@ -38,22 +38,22 @@
 
 
 class RefusalRecord:
-    """Keeps the newest refusals, bounded, since overload refuses most of all."""
+    """Keeps a limited number of refusals, as an overload causes very many."""
 
     def __init__(self, kept=REFUSALS_KEPT):
         self._lock = threading.Lock()
         self._refusals = collections.deque(maxlen=kept)
 
     def add(self, refusal):
-        """Record one refusal."""
+        """Record a refusal, dropping the oldest one at the limit."""
         with self._lock:
             self._refusals.append(refusal)
 
-    def find(self, an_id):
-        """Return the refusals of a request id or decision id, newest first."""
+    def find(self, request_or_decision_id):
+        """Return the refusals with this request id or decision id, newest first."""
         with self._lock:
             return [
                 refusal
                 for refusal in reversed(self._refusals)
-                if an_id in (refusal.request_id, refusal.decision_id)
+                if request_or_decision_id in (refusal.request_id, refusal.decision_id)
             ]
--- a/tamarackhaven/_request.py
+++ b/tamarackhaven/_request.py
@@ -1,4 +1,4 @@
-"""The typed messages that pass through the request path."""
+"""Defines header names and the types that pass through the request path."""
 
 import attrs
 
@@ -20,8 +20,8 @@
 RETRY_AFTER_HEADER = "Retry-After"
 RETRY_AFTER_MS_HEADER = "Tamarackhaven-Retry-After-Ms"
 
-# Two of one of these are an error: a proxy and a target that pick different ones
-# would act on different requests.
+# A request with one of these headers twice is refused: a proxy and a target that use
+# different ones of the two would act on different requests.
 SINGLE_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -50,9 +50,9 @@
     Parameters
     ----------
     received_s : float
-        When its last byte arrived, in seconds of CLOCK_BOOTTIME.
+        Time when the last byte arrived, in seconds of CLOCK_BOOTTIME.
     overloaded : bool
-        All threads of this port are busy, and as many requests wait for one.
+        Whether all threads of this port are busy and as many requests are queued.
     """
 
     method: str
@@ -66,20 +66,20 @@
 
 @attrs.frozen
 class Request:
-    """A request that has been identified.
+    """An identified request.
 
     Parameters
     ----------
     headers : tuple of (str, str)
-        The headers that the target gets besides ours.
+        Headers that are forwarded to the target unchanged.
     deadline_s : float or None
-        In seconds of CLOCK_BOOTTIME; None until the service's default is known.
+        In seconds of CLOCK_BOOTTIME; None until the service's default is applied.
     first_sent_s : float or None
-        When the caller sent the first try, in seconds of its wall clock.
+        Time when the caller sent the first try, in seconds of its wall clock.
     hops : int
-        Daemons that it has passed.
+        Number of daemons that the request has passed.
     decision_id : str
-        Names what this daemon decided on this arrival; a resend has another one.
+        Identifies this daemon's decision on this request; a retry has another one.
     """
 
     request_id: str
@@ -100,7 +100,7 @@
 
     @property
     def is_booking(self):
-        """Whether running it twice would do harm."""
+        """Whether the request must not run twice."""
         return self.method not in LOOKUP_METHODS
 
 
@@ -113,7 +113,7 @@
     body: bytes
 
     def header(self, name, default=""):
-        """Return the value of the first header of that name."""
+        """Return the value of the first header called ``name``, in any case."""
         wanted = name.lower()
         for key, value in self.headers:
             if key.lower() == wanted:
--- a/tamarackhaven/_retries.py
+++ b/tamarackhaven/_retries.py
@@ -1,4 +1,4 @@
-"""The retry budget of a daemon under a lock, with its counts on the metrics page."""
+"""Thread-safe retry budget of a daemon, with retries counted in its metrics."""
 
 import random
 import threading
@@ -7,7 +7,7 @@
 from tamarackhaven._hedge import may_hedge
 from tamarackhaven._retry import (
     FailedTry,
-    GiveUp,
+    NoRetry,
     RetryBudget,
     RetryReason,
     RetryRefusal,
@@ -19,28 +19,29 @@
 def owner_retries(threads):
     """Return the ``RetrySettings`` of exclusive services.
 
-    Load: a shard moves, or its owner is lost, while every thread has a request for it.
-    Harm of the budget of shared services: all but its burst would be refused, though a
-    try at the new owner is the only one that reaches a target. Limit: one more try for
-    each thread, ten rounds of them saved up; two daemons that disagree for longer than
-    that use up the budget, and callers hear at once.
+    A shard may move, or lose its owner, while every thread has a request for it. With
+    the budget of shared services, all requests beyond its burst would be refused
+    although only a retry at the new owner can reach a target. Therefore each request
+    may be retried once, and the burst allows ten retries for each thread. Two daemons
+    that disagree about the owner for longer use up the budget, and further callers are
+    answered immediately.
     """
     return RetrySettings(ratio=0.5, floor_per_s=20.0, burst=10.0 * threads, attempts=2)
 
 
 class Retries:
-    """One ``RetryBudget``; every method may be called from any thread.
+    """A thread-safe ``RetryBudget`` that counts retries.
 
     Parameters
     ----------
     settings : RetrySettings
-        Of the budget.
+        Settings of the budget.
     mode : PolicyMode
-        Of the services that it is for.
+        Ownership mode of the services that use the budget.
     metrics : Metrics
-        Counts tries and refusals by reason.
+        Counts retries and refused retries by reason.
     clock : Clock
-        ``boot_s`` is the time of the budget.
+        Gives the time of the budget by ``boot_s``.
     """
 
     def __init__(self, settings, mode, metrics, clock):
@@ -57,56 +58,58 @@
             self._budget.succeeded()
 
     def allows(self, error, request, attempts):
-        """Return whether a failed request may be tried again; if so it is paid for."""
+        """Return whether a failed request may be retried; if so, spend a token."""
         failed = FailedTry(
             kind=error.kind,
             mode=self._mode,
-            idempotent=not request.is_booking,
+            is_idempotent=not request.is_booking,
             attempts=attempts,
             deadline_s=request.deadline_s,
             retry_after_s=error.retry_after_s,
         )
         with self._lock:
-            verdict = self._budget.may_retry(
+            decision = self._budget.may_retry(
                 failed, self._clock.boot_s(), self._rng.random()
             )
-        if isinstance(verdict, GiveUp):
-            self.refuse(verdict.refusal)
+        if isinstance(decision, NoRetry):
+            self.count_refusal(decision.refusal)
             return False
         return True
 
-    def refuse(self, refusal):
-        """Count a ``RetryRefusal``."""
+    def count_refusal(self, refusal):
+        """Count a retry that was refused for the ``RetryRefusal``."""
         self._metrics.count(_metrics.RETRIES_REFUSED, reason=refusal.value)
 
     def started(self, error):
-        """Count the retry that ``allows`` has paid for."""
+        """Count the start of a retry that ``allows`` permitted."""
         self._metrics.count(_metrics.RETRIES, reason=error.kind.name)
 
-    def give_back(self):
-        """Take back what ``allows`` paid: there was nowhere to try."""
+    def refund(self):
+        """Return the token that ``allows`` spent, as there was nowhere to retry."""
         with self._lock:
-            self._budget.give_back()
+            self._budget.refund()
 
     def may_hedge(self, deadline_s, settings):
-        """Return whether a second try may start beside the first; pays and counts."""
+        """Return whether a hedge may start; spend a token and count it if so."""
         now = self._clock.boot_s()
         with self._lock:
             allowed = may_hedge(self._budget, now, deadline_s, settings)
         if allowed:
             self._metrics.count(_metrics.RETRIES, reason=RetryReason.HEDGE.name)
         else:
-            late = deadline_s - now < settings.min_left_s
-            self.refuse(RetryRefusal.DEADLINE if late else RetryRefusal.BUDGET)
+            is_late = deadline_s - now < settings.min_left_s
+            self.count_refusal(
+                RetryRefusal.DEADLINE if is_late else RetryRefusal.BUDGET
+            )
         return allowed
 
 
-def doubtful(earlier, later):
-    """Return of two errors of one request the one that doubts most whether it ran.
+def least_certain_error(earlier, later):
+    """Return the one of two errors of a request that says less surely "did not run".
 
-    Failure: the first try was lost half-way and the second refused unrun. Symptom: the
-    caller hears "did not run". Enough, because one try in doubt leaves the request in
-    doubt.
+    If the first try was lost on its way and the second was refused, the second error
+    alone would tell the caller that the request did not run. If it is unknown for any
+    try whether it ran, it is unknown for the request.
     """
     if earlier is not None and later.answer.ran is Ran.NO:
         return earlier if earlier.answer.ran is not Ran.NO else later
--- a/tamarackhaven/_retry.py
+++ b/tamarackhaven/_retry.py
@@ -1,10 +1,10 @@
-"""Whether a daemon may try a failed request again, by a closed rule.
+"""Decides whether and where a daemon retries a failed request.
 
-Load: a target or a daemon is lost, or all are full, and many requests fail at once.
-Harm: retries multiply the load just when there is too much of it; and a request that
-ran and is sent again runs twice.
-Limit: only requests that did not run, or idempotent ones; a budget tied to the rate of
-successes, so that retries dry up as successes do; never past the deadline.
+When a target or daemon is lost, or all are full, many requests fail at once. Unlimited
+retries would then multiply the load during an overload, and a request that ran would
+run twice. Therefore only requests that did not run, or idempotent ones, are retried,
+within a budget that is earned by successes, so that retries stop when successes do,
+and never past the deadline.
 """
 
 import collections
@@ -29,7 +29,7 @@
         _K.ZONE_OUT,
     }
 )
-"""Nothing ran, and the key may have another owner by now."""
+"""The request did not run, and its key may have another owner by now."""
 
 REFUSED_KINDS = frozenset(
     {
@@ -42,7 +42,7 @@
         _K.STATE_STALE,
     }
 )
-"""Nothing ran at this target; another one may have room."""
+"""The request did not run at this target; another one may have capacity."""
 
 LOST_KINDS = frozenset(
     {
@@ -57,7 +57,7 @@
 
 
 class RetryReason(enum.Enum):
-    """Why a request is tried again; each is counted."""
+    """Reason for a retry, counted by value."""
 
     RELOCATED = "relocated"
     REFUSED = "refused"
@@ -66,21 +66,21 @@
 
 
 class RetryRefusal(enum.Enum):
-    """Why a request is not tried again; each is counted."""
+    """Reason why a request is not retried, counted by value."""
 
     NOT_RETRYABLE = "not-retryable"
     MAY_HAVE_RUN = "may-have-run"
-    ONLY_OWNER = "only-owner"  # a busy owner, and no other target may run it
+    ONLY_OWNER = "only-owner"  # the owner is busy, and no other target may run it
     ATTEMPTS = "attempts"
     DEADLINE = "deadline"
     BUDGET = "budget"
 
 
 class RetryPlace(enum.Enum):
-    """Where the next try goes."""
+    """Destination of the next try."""
 
-    OWNER = "owner"  # the present owner, looked up again
-    ELSEWHERE = "elsewhere"  # a target that did not have the request yet
+    OWNER = "owner"  # the current owner of the key, located again
+    ELSEWHERE = "elsewhere"  # a target that the request was not sent to before
 
 
 @attrs.frozen
@@ -90,17 +90,19 @@
     Parameters
     ----------
     ratio : float
-        Retries earned by each success.
+        Tokens earned by each success; a retry costs one.
     floor_per_s : float
-        Retries a second earned in any case, so that a quiet service may retry.
+        Tokens earned each second regardless of successes, so that a service with
+        few requests may retry.
     burst : float
-        Most retries saved up.
+        Maximum number of tokens saved.
     attempts : int
-        Most tries of one request, the first one included.
+        Maximum number of tries of one request, including the first.
     pause_s : float
-        Pause before the first retry at an owner; it doubles with each.
+        Pause in seconds before the first retry at an owner; it doubles with each
+        retry.
     min_left_s : float
-        Least time before the deadline that makes a try worth while.
+        Minimum time left before the deadline for a retry, in seconds.
     """
 
     ratio: float = 0.1
@@ -113,27 +115,27 @@
 
 @attrs.frozen
 class FailedTry:
-    """A try that has failed.
+    """A failed try of a request.
 
     Parameters
     ----------
     kind : ErrorKind
-        How it failed.
+        Kind of the failure.
     mode : PolicyMode
-        Of the service.
-    idempotent : bool
-        Whether the request may run twice without harm.
+        Ownership mode of the service.
+    is_idempotent : bool
+        Whether the request may safely run twice.
     attempts : int
-        Tries so far, this one included.
+        Number of tries so far, including this one.
     deadline_s : float
-        Of the request, on the same clock as ``now``.
+        Deadline of the request, in seconds of the clock of ``now``.
     retry_after_s : float
-        What the failed try said about coming back.
+        Retry-After of the failed try, in seconds.
     """
 
     kind: ErrorKind
     mode: PolicyMode
-    idempotent: bool
+    is_idempotent: bool
     attempts: int
     deadline_s: float
     retry_after_s: float = 0.0
@@ -149,8 +151,8 @@
 
 
 @attrs.frozen
-class GiveUp:
-    """Answer the caller at once with ``kind``."""
+class NoRetry:
+    """Answer the caller immediately with ``kind``; don't retry."""
 
     kind: ErrorKind
     retry_after_s: float
@@ -158,13 +160,13 @@
 
 
 class RetryBudget:
-    """A token bucket filled by successes, shared by all requests of a daemon.
+    """A token bucket filled by successes, shared by all requests of one mode.
 
     Parameters
     ----------
     settings : RetrySettings
     now : float
-        In seconds.
+        Time of creation, in seconds.
     """
 
     def __init__(self, settings=None, now=0.0):
@@ -172,17 +174,17 @@
         self.tokens = self.settings.burst
         self.counts_by_reason = collections.Counter()
         self.counts_by_refusal = collections.Counter()
-        self._filled_at = now
+        self._refilled_at_s = now
 
     def succeeded(self):
-        """Count a request that succeeded at its first try."""
+        """Add tokens for a request that succeeded at its first try."""
         self._add(self.settings.ratio)
 
     def spend(self, reason, now):
-        """Take one token for ``reason``; return whether there was one."""
-        passed = max(0.0, now - self._filled_at)
-        self._filled_at = max(now, self._filled_at)
-        self._add(passed * self.settings.floor_per_s)
+        """Spend one token for ``reason``; return whether one was available."""
+        elapsed_s = max(0.0, now - self._refilled_at_s)
+        self._refilled_at_s = max(now, self._refilled_at_s)
+        self._add(elapsed_s * self.settings.floor_per_s)
         if self.tokens < 1.0:
             self.counts_by_refusal[RetryRefusal.BUDGET] += 1
             return False
@@ -190,65 +192,68 @@
         self.counts_by_reason[reason] += 1
         return True
 
-    def give_back(self):
-        """Return a token that was spent for a try which then was not made."""
+    def refund(self):
+        """Return a token that was spent for a try that was not started."""
         self._add(1.0)
 
-    def may_retry(self, failed, now, draw):
-        """Return what becomes of a failed try.
+    def may_retry(self, failed, now, random_part):
+        """Decide whether to retry a failed try.
 
         Parameters
         ----------
         failed : FailedTry
-            What failed, and how.
+            The failed try.
         now : float
-            In seconds.
-        draw : float
-            Random number from 0 to 1; spreads the retries of many requests that
+            Current time, in seconds.
+        random_part : float
+            Random number from 0 to 1 that spreads the retries of requests which
             failed together.
 
         Returns
         -------
-        Retry or GiveUp
+        Retry or NoRetry
         """
-        reason, refusal = _rule(failed)
-        pause = self._pause(failed, reason, draw)
+        reason, refusal = _classify(failed)
+        pause_s = self._pause(failed, reason, random_part)
         if refusal is None and failed.attempts >= self.settings.attempts:
             refusal = RetryRefusal.ATTEMPTS
-        left = failed.deadline_s - now - pause
-        if refusal is None and left < self.settings.min_left_s:
+        left_s = failed.deadline_s - now - pause_s
+        if refusal is None and left_s < self.settings.min_left_s:
             refusal = RetryRefusal.DEADLINE
         if refusal is not None:
             self.counts_by_refusal[refusal] += 1
         elif not self.spend(reason, now):
             refusal = RetryRefusal.BUDGET
         if refusal is not None:
-            return GiveUp(failed.kind, failed.retry_after_s, refusal)
-        return Retry(_place(failed), pause, reason)
+            return NoRetry(failed.kind, failed.retry_after_s, refusal)
+        return Retry(_retry_place(failed), pause_s, reason)
 
     def _add(self, tokens):
         self.tokens = min(self.settings.burst, self.tokens + tokens)
 
-    def _pause(self, failed, reason, draw):
-        """Return the pause: none elsewhere, else time for the owner to change."""
-        if _place(failed) is RetryPlace.ELSEWHERE:
+    def _pause(self, failed, reason, random_part):
+        """Return the pause in seconds; only retries at the owner have one.
+
+        It gives the key time to get another owner.
+        """
+        if _retry_place(failed) is RetryPlace.ELSEWHERE:
             return 0.0
-        longest = self.settings.pause_s * 2.0 ** (failed.attempts - 1)
-        return longest * (0.5 + 0.5 * draw)
+        max_pause_s = self.settings.pause_s * 2.0 ** (failed.attempts - 1)
+        return max_pause_s * (0.5 + 0.5 * random_part)
 
 
-def _place(failed):
+def _retry_place(failed):
     if failed.mode is PolicyMode.EXCLUSIVE:
         return RetryPlace.OWNER
     return RetryPlace.ELSEWHERE
 
 
-def _rule(failed):
-    """Return the reason for a retry, or None and the refusal.
+def _classify(failed):
+    """Return the reason for a retry and None, or None and the reason against one.
 
-    Failure: a booking is sent again after an answer was lost. Symptom: it runs twice.
-    Enough, because the kinds that say "did not run" are the only ones that a request
-    that isn't idempotent is ever repeated for.
+    A booking that is retried after its answer was lost could run twice. Therefore a
+    request that isn't idempotent is retried only after errors that say that it did not
+    run.
     """
     if failed.kind in RELOCATED_KINDS:
         return RetryReason.RELOCATED, None
@@ -257,7 +262,7 @@
             return None, RetryRefusal.ONLY_OWNER
         return RetryReason.REFUSED, None
     if failed.kind in LOST_KINDS:
-        if not failed.idempotent and ANSWER_BY_KIND[failed.kind].ran is not Ran.NO:
+        if not failed.is_idempotent and ANSWER_BY_KIND[failed.kind].ran is not Ran.NO:
             return None, RetryRefusal.MAY_HAVE_RUN
         return RetryReason.LOST, None
     return None, RetryRefusal.NOT_RETRYABLE
--- a/tamarackhaven/_retry_after.py
+++ b/tamarackhaven/_retry_after.py
@@ -1,30 +1,32 @@
-"""How fast a queue empties, and when a refused caller may come back."""
-
-# Weight of a new holding time in the mean: about the last 20 requests count.
-_NEW_WEIGHT = 0.1
-# Silence for this many mean holding times is a stall: less is one long request, most of
-# all at a cold target that runs one or two at once.
-STALL_HOLDS = 4.0
-# A caller that comes back sooner finds the same queue.
-RETRY_MIN_S = 0.05
-# Longer than this no measure of now holds: a straggler is quick again, a burst is over.
-# A refused try costs the daemon little, one a second from each caller.
-RETRY_MAX_S = 1.0
-# Part of the time by which a come-back is spread: callers refused in the same
-# instant would otherwise be back in the same instant.
-SPREAD = 0.5
+"""Estimates how fast a queue empties and when refused callers should retry."""
+
+# Weight of a new holding time in the moving mean, which covers about 20 requests.
+_NEW_SAMPLE_WEIGHT = 0.1
+# A target is stalled after this many mean holding times without progress. A shorter
+# silence may be one long request, especially at a cold target that runs one or two at
+# once.
+STALL_HOLD_FACTOR = 4.0
+# A caller that retries sooner finds the queue unchanged.
+MIN_RETRY_AFTER_S = 0.05
+# After this time the present measurements no longer apply: a straggler may be fast
+# again, a burst may be over. One refused try a second from each caller costs the daemon
+# little.
+MAX_RETRY_AFTER_S = 1.0
+# Fraction of the time by which Retry-After is spread, as callers that were refused at
+# the same moment would otherwise retry at the same moment.
+SPREAD_FRACTION = 0.5
 
 
 class EmptyingRate:
-    """The pace at which a gate's queue empties, from what its requests took.
+    """The rate at which a gate's queue empties, from the durations of its requests.
 
-    Holding time divided by the limit, not finishes counted by the second: a target
-    with little to do finishes little, and would seem slow.
+    It is computed from the holding time divided by the limit, not from completions a
+    second, by which a target with few requests would look slow.
     """
 
     def __init__(self):
-        self._hold_s = 0.0  # 0 until the first end
-        self._alive_at = 0.0
+        self._hold_s = 0.0  # 0 until the first request ends
+        self._last_progress_s = 0.0
 
     @property
     def hold_s(self):
@@ -32,85 +34,85 @@
         return self._hold_s
 
     def ended(self, latency_s, now):
-        """Take in the end of a request that held a slot for ``latency_s``."""
-        weight = _NEW_WEIGHT if self._hold_s else 1.0
+        """Record the end of a request that held a slot for ``latency_s`` seconds."""
+        weight = _NEW_SAMPLE_WEIGHT if self._hold_s else 1.0
         self._hold_s += weight * (latency_s - self._hold_s)
-        self._alive_at = now
+        self._last_progress_s = now
 
     def began(self, now):
-        """A request starts while none runs: silence counts from now.
+        """Restart the measurement of silence as a request starts while none runs.
 
-        Failure: a burst after a quiet hour. Symptom: the hour counts as a stall and
-        all that can't start at once are refused.
+        Otherwise a quiet hour before a burst would count as a stall, and all requests
+        that can't start immediately would be refused.
         """
-        self._alive_at = now
+        self._last_progress_s = now
 
     def interval_s(self, limit):
-        """Return the time between two starts from a queue, in seconds."""
+        """Return the expected time between two starts from the queue, in seconds."""
         return self._hold_s / max(1, limit)
 
     def stalled_s(self, limit, now):
-        """Return for how long the target has been silent beyond its pace."""
+        """Return for how many seconds the target has been stalled, 0 if it isn't."""
         if not self._hold_s:
             return 0.0
-        return max(0.0, now - self._silent_from_s())
+        return max(0.0, now - self._stall_starts_s())
 
-    def _silent_from_s(self):
-        return self._alive_at + STALL_HOLDS * self._hold_s
+    def _stall_starts_s(self):
+        return self._last_progress_s + STALL_HOLD_FACTOR * self._hold_s
 
     def known_at(self, start_by_s):
-        """Return when silence would show that a start by ``start_by_s`` fails.
+        """Return when silence shows that a request won't start by ``start_by_s``.
 
-        Load: a queue behind a target that stalls. Harm prevented: callers hear only
-        near their deadlines what was known long before. Limit: a silence is expected
-        to last as long again.
+        It is used to refuse requests queued for a stalled target early, instead of
+        near their deadlines. A silence is expected to last as long again.
         """
         if not self._hold_s:
             return start_by_s
-        return (start_by_s + min(start_by_s, self._silent_from_s())) / 2
+        return (start_by_s + min(start_by_s, self._stall_starts_s())) / 2
 
     def wait_s(self, place, limit, now):
-        """Return the expected wait behind ``place`` others, in seconds.
+        """Return the expected wait behind ``place`` other requests, in seconds.
 
-        A silence so far is expected to last as long again.
+        A present stall is expected to last as long again.
         """
         return (place + 1) * self.interval_s(limit) + self.stalled_s(limit, now)
 
 
 class ComeBackTimes:
-    """Hands out the times at which refused callers may come back.
+    """Assigns the times after which refused callers should retry.
 
-    Load: demand above capacity for seconds, with callers that repeat. Harm prevented:
-    all that were refused return together and are refused again. Each refusal is given
-    the next free place in a line that moves at the emptying rate.
+    When demand exceeds capacity for seconds, refused callers that all retry at the same
+    time would be refused again. Each refusal is therefore assigned the next place in a
+    virtual queue that advances at the rate at which the real one empties.
     """
 
     def __init__(self):
-        self._line_ends_at = 0.0
+        self._queue_ends_s = 0.0
 
     def next_s(self, backlog_s, interval_s, now, deadline_s, random_part):
         """Return a Retry-After in seconds.
 
-        A caller whose deadline comes first won't come back, so it takes no place:
-        otherwise the line grows by callers that are gone, and those who could still
-        be answered are sent away past their deadlines while slots stay free.
+        A caller whose deadline comes first won't retry, so it gets no place. Otherwise
+        the virtual queue would grow by callers that are gone, and callers that
+        could still be answered would be told to retry after their deadlines while
+        slots are free.
 
         Parameters
         ----------
         backlog_s : float
-            Time until the queue of now is empty.
+            Time until the present queue is empty.
         interval_s : float
-            Time between two starts.
+            Time between two starts from the queue.
         now : float
-            Seconds of the gate's clock.
+            Current time in seconds of the gate's clock.
         deadline_s : float
             The caller's deadline, on the same clock.
         random_part : float
             A random number from 0 to 1.
         """
-        line_ends_at = max(self._line_ends_at, now + backlog_s) + interval_s
-        if line_ends_at < deadline_s:
-            self._line_ends_at = line_ends_at
-        wait_s = min(line_ends_at - now, RETRY_MAX_S)
-        spread = 1.0 - SPREAD / 2 + SPREAD * random_part
-        return max(RETRY_MIN_S * (0.5 + random_part), wait_s * spread)
+        queue_ends_s = max(self._queue_ends_s, now + backlog_s) + interval_s
+        if queue_ends_s < deadline_s:
+            self._queue_ends_s = queue_ends_s
+        wait_s = min(queue_ends_s - now, MAX_RETRY_AFTER_S)
+        spread_factor = 1.0 - SPREAD_FRACTION / 2 + SPREAD_FRACTION * random_part
+        return max(MIN_RETRY_AFTER_S * (0.5 + random_part), wait_s * spread_factor)
--- a/tamarackhaven/_shared_route.py
+++ b/tamarackhaven/_shared_route.py
@@ -1,4 +1,4 @@
-"""The way of a request whose service is shared: any of its targets may answer."""
+"""Routes requests of shared services, whose targets may all answer any key."""
 
 import random
 import threading
@@ -8,33 +8,33 @@
 
 from tamarackhaven._hedge import HedgedRequest, HedgeSettings
 from tamarackhaven._model import ShardGrant
-from tamarackhaven._retries import doubtful
+from tamarackhaven._retries import least_certain_error
 from tamarackhaven._shared_pool import SharedPool
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 NO_TARGET_RETRY_S = 0.5
-_HEDGE = HedgeSettings()
+_HEDGE_SETTINGS = HedgeSettings()
 
 
 class SharedRoute:
-    """Chooses, tries, tries elsewhere, and races a slow try with a second one.
+    """Chooses a target, retries failures at others, and hedges slow tries.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Names this daemon's own target.
+        Gives this daemon's service, target, zone and number of threads.
     view : View
         Gives the targets that may be chosen.
     owner : Owner
-        Serves at this daemon's target.
+        Serves requests at this daemon's target.
     forwarder : Forwarder
-        Hands on to the others.
+        Forwards requests to the other targets.
     retries : Retries
-        The budget.
+        The retry budget of shared services.
     metrics : Metrics
-        Gets the latency of the target that answered.
+        Records latencies by target.
     clock : Clock
-        Both clocks.
+        Measures latencies.
     """
 
     def __init__(self, settings, view, owner, forwarder, retries, metrics, clock):
@@ -48,8 +48,8 @@
         self._rng = random.Random()
         self._lock = threading.Lock()
         self._pool_by_service = {}
-        # Each caller's thread has one try and at most one beside it. Threads are made
-        # as they are needed.
+        # Each caller thread has one try and at most one hedge. The executor creates its
+        # threads on demand.
         self._executor = ThreadPoolExecutor(2 * settings.threads, "try")
 
     def answer(self, request, located, gone):
@@ -58,20 +58,21 @@
         Raises
         ------
         TamarackhavenError
-            BOOKING_SHARED, NO_OWNER if no target takes work, CONNECTIONS_FULL if all
-            have as many requests as may be, else how the last try failed.
+            BOOKING_SHARED; NO_OWNER if no target accepts requests; CONNECTIONS_FULL if
+            all targets are at their connection limit; else the least certain error of
+            the failed tries.
         """
         refuse_booking(request)
         tried, error = [], None
         member = self._choose(located, tried)
         if member is None:
-            raise self._none(request.service)
+            raise self._no_target_error(request.service)
         while True:
             tried.append(member.target)
             try:
-                return self._raced(request, located, member, tried, gone)
+                return self._try_hedged(request, located, member, tried, gone)
             except TamarackhavenError as failure:
-                error = doubtful(error, failure)
+                error = least_certain_error(error, failure)
                 member = self._choose(located, tried)
                 if member is None or not self._retries.allows(
                     failure, request, len(tried)
@@ -80,7 +81,7 @@
                 self._retries.started(failure)
 
     def close(self):
-        """Start no more tries."""
+        """Cancel pending tries and start no more."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _choose(self, located, tried):
@@ -96,28 +97,30 @@
             self._pool_by_service[service] = SharedPool(self._settings.zone)
         return self._pool_by_service[service]
 
-    def _none(self, service):
+    def _no_target_error(self, service):
         if self._view.takers(service):
-            return TamarackhavenError(ErrorKind.CONNECTIONS_FULL, "Of all targets.")
-        detail = "No target of this shared service takes work."
+            return TamarackhavenError(
+                ErrorKind.CONNECTIONS_FULL, "All targets are at their limit."
+            )
+        detail = "No target of this shared service accepts requests."
         return TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_TARGET_RETRY_S)
 
-    def _raced(self, request, located, first, tried, gone):
-        """Return the first answer of a try and, if it is slow, of one beside it."""
+    def _try_hedged(self, request, located, first, tried, gone):
+        """Return the first answer of a try and, if that is slow, of its hedge."""
         with self._lock:
             pool = self._pool(request.service)
             delay_s = pool.hedge_delay_s(not request.is_booking)
-        alone = len(self._view.takers(request.service)) < 2
-        race = _Race(gone)
-        if delay_s is None or alone:
+        is_only_target = len(self._view.takers(request.service)) < 2
+        race = _HedgeRace(gone)
+        if delay_s is None or is_only_target:
             answer = self._try(request, located, first, race)
         else:
-            answer = self._run(race, request, located, first, tried, delay_s)
+            answer = self._run_race(race, request, located, first, tried, delay_s)
         if len(tried) == 1:
             self._retries.succeeded()
         return answer
 
-    def _run(self, race, request, located, first, tried, delay_s):
+    def _run_race(self, race, request, located, first, tried, delay_s):
         def start(member):
             future = self._executor.submit(self._try, request, located, member, race)
             target_by_future[future] = member.target
@@ -127,18 +130,20 @@
         start(first)
         try:
             if not wait(target_by_future, delay_s).done:
-                second = self._second(request, located, tried)
+                second = self._choose_hedge(request, located, tried)
                 if second is not None:
                     tried.append(second.target)
                     hedged.hedge(second.target)
                     start(second)
-            return _first_answer(hedged, target_by_future)
+            return _wait_for_first_answer(hedged, target_by_future)
         finally:
             race.over.set()
 
-    def _second(self, request, located, tried):
+    def _choose_hedge(self, request, located, tried):
         member = self._choose(located, tried)
-        if member is None or not self._retries.may_hedge(request.deadline_s, _HEDGE):
+        if member is None or not self._retries.may_hedge(
+            request.deadline_s, _HEDGE_SETTINGS
+        ):
             return None
         return member
 
@@ -148,7 +153,7 @@
             self._pool(request.service).started(member.target)
         error = None
         try:
-            answer = self._serve(request, at_member(located, member), race.gone)
+            answer = self._serve(request, locate_at_member(located, member), race.gone)
         except TamarackhavenError as failure:
             error = failure
             raise
@@ -172,20 +177,20 @@
         return self._forwarder.forward(request, located, gone)
 
 
-class _Race:
-    """Tells the tries of one request that it is over."""
+class _HedgeRace:
+    """Signals the end of a request to its other tries."""
 
     def __init__(self, gone):
         self._caller_gone = gone
         self.over = threading.Event()
 
     def gone(self):
-        """Return whether nobody waits for the try any more."""
+        """Return whether the race is over or the caller has disconnected."""
         return self.over.is_set() or self._caller_gone()
 
 
-def _first_answer(hedged, target_by_future):
-    """Return the first answer, or raise the error that leaves most doubt."""
+def _wait_for_first_answer(hedged, target_by_future):
+    """Return the first answer, or raise the least certain error if all tries fail."""
     running, error = set(target_by_future), None
     while True:
         done, running = wait(running, return_when=FIRST_COMPLETED)
@@ -196,16 +201,17 @@
                 return future.result()
             if not isinstance(failure, TamarackhavenError):
                 raise failure
-            error = doubtful(error, failure)
+            error = least_certain_error(error, failure)
             if settled is not None:
                 raise error
 
 
-def at_member(located, member):
+def locate_at_member(located, member):
     """Return a ``Located`` that names one target of a shared service.
 
-    Nobody is granted a key of such a service. The target's epoch stands in the place
-    of a grant's, so that the daemon beside it serves only while it holds its lease.
+    Keys of a shared service are granted to no target. The grant is built with the
+    target's epoch, so that its daemon serves the request only while it holds the lease
+    of that epoch.
     """
     grant = ShardGrant(
         service=member.service,
@@ -217,13 +223,13 @@
 
 
 def refuse_booking(request):
-    """Refuse what may not run twice: at a shared service nobody remembers it.
+    """Refuse a booking at a shared service, where it could run twice.
 
-    Failure: the answer to a booking is lost and its caller sends it again. Symptom:
-    the second try goes to another target, which knows nothing of the first, and it
-    runs twice. Enough, because no booking is ever sent to a target.
+    If the answer to a booking were lost and its caller sent it again, the second try
+    could go to another target, which has no record of the first, and run again. The
+    check is sufficient because no booking is ever sent to a target.
     """
     if request.is_booking:
         raise TamarackhavenError(
-            ErrorKind.BOOKING_SHARED, "GET, HEAD and OPTIONS are served."
+            ErrorKind.BOOKING_SHARED, "Only GET, HEAD and OPTIONS are served."
         )
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of choice, outlier ejection, retries and hedges for shared services."""
+"""Tests of target choice, outlier ejection, retries and hedges."""
 
 import collections
 import heapq
@@ -23,7 +23,7 @@
     REFUSED_KINDS,
     RELOCATED_KINDS,
     FailedTry,
-    GiveUp,
+    NoRetry,
     Retry,
     RetryBudget,
     RetryPlace,
@@ -37,15 +37,15 @@
 
 
 class Queues:
-    """A seeded queue model: each target has slots, and a queue in order of arrival."""
+    """A seeded queueing model with slots and a first-in, first-out queue per target."""
 
-    def __init__(self, seed, slow_by_target):
+    def __init__(self, seed, slowdown_by_target):
         self.rng = random.Random(seed)
-        self.slow_by_target = slow_by_target
+        self.slowdown_by_target = slowdown_by_target
         self.free = {c.target: [0.0] * SLOTS for c in TARGETS}
 
     def run(self, chooser, arrivals):
-        """Return the latencies of requests that arrive at the given times."""
+        """Return the sorted latencies in seconds and the requests sent by target."""
         ends, latencies, sent = [], [], collections.Counter()
         for now in arrivals:
             while ends and ends[0][0] <= now:
@@ -54,7 +54,7 @@
             chooser.started(target)
             slots = self.free[target]
             begin = max(now, heapq.heappop(slots))
-            mean = SERVICE_S * self.slow_by_target.get(target, 1.0)
+            mean = SERVICE_S * self.slowdown_by_target.get(target, 1.0)
             end = begin + self.rng.expovariate(1.0 / mean)
             heapq.heappush(slots, end)
             heapq.heappush(ends, (end, target, end - now, end))
@@ -63,15 +63,15 @@
         return sorted(latencies), sent
 
 
-class Better(TargetChooser):
-    """Ours."""
+class ProductionChooser(TargetChooser):
+    """The chooser of the program, always with the same candidates."""
 
     def pick(self, now, rng):
         return self.choose(TARGETS, now, rng).target
 
 
-class Naive:
-    """Round robin, or at random; it learns nothing."""
+class LoadBlindChooser:
+    """Chooses round robin or at random, without regard to latency."""
 
     def __init__(self, at_random):
         self.names = itertools.cycle(c.target for c in TARGETS)
@@ -88,7 +88,7 @@
 
 
 def bursts(seed, load, count=6000):
-    """Return arrival times: every other 200 ms brings three times as much."""
+    """Return arrival times whose rate alternates by a factor of three every 200 ms."""
     rng, now, times = random.Random(seed), 0.0, []
     rate = load * len(TARGETS) * SLOTS / SERVICE_S
     for _ in range(count):
@@ -103,33 +103,35 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_slow_target_under_bursts(seed):
-    """One of four targets becomes eight times as slow while bursts come.
+def test_a_slow_target_gets_few_requests_under_bursts(seed):
+    """One of four targets becomes eight times as slow during bursts.
 
-    A naive choice goes on sending it a quarter of all requests, which wait in its
-    queue; ours sends it few, and the caller's 99th percentile stays far lower.
+    Round robin and random choice still send it a quarter of all requests, which wait in
+    its queue. The chooser must send it few, with a far lower 99th percentile.
     """
     arrivals = bursts(seed, 0.45)
-    ours, sent = Queues(seed, {"t3": 8.0}).run(Better("a"), arrivals)
+    latencies, sent = Queues(seed, {"t3": 8.0}).run(ProductionChooser("a"), arrivals)
     for at_random in (True, False):
-        naive, _ = Queues(seed, {"t3": 8.0}).run(Naive(at_random), arrivals)
-        assert p99(ours) < p99(naive) / 50
+        blind_latencies, _ = Queues(seed, {"t3": 8.0}).run(
+            LoadBlindChooser(at_random), arrivals
+        )
+        assert p99(latencies) < p99(blind_latencies) / 50
     assert sent["t3"] < len(arrivals) / 50
 
 
-def test_all_well_choice_is_no_worse_than_chance():
+def test_with_healthy_targets_choice_is_no_worse_than_random():
     arrivals = bursts(7, 0.6)
-    ours, sent = Queues(7, {}).run(Better("a"), arrivals)
-    naive, _ = Queues(7, {}).run(Naive(at_random=True), arrivals)
-    assert p99(ours) <= p99(naive)
+    latencies, sent = Queues(7, {}).run(ProductionChooser("a"), arrivals)
+    blind_latencies, _ = Queues(7, {}).run(LoadBlindChooser(at_random=True), arrivals)
+    assert p99(latencies) <= p99(blind_latencies)
     assert sent["t0"] + sent["t1"] > len(arrivals) / 2
 
 
 def test_a_lagging_report_loses_its_weight():
-    """A target reported itself full, then its reports stopped.
+    """A target reports itself full, then its reports stop.
 
-    It must get work again although nobody says that it is free: a report's weight
-    halves with its age. What this daemon has sent itself counts however old.
+    It must be chosen again without a new report, because a report loses weight with
+    age. Requests that this daemon sent itself count at any age.
     """
     chooser = TargetChooser("a")
     full, other = TARGETS[:2]
@@ -146,11 +148,11 @@
     return any(ejector.record(target, ok, latency, now) for _ in range(count))
 
 
-def test_outliers_are_ejected_up_to_a_cap_and_return():
-    """Three of four targets fail at once, then one is merely slow.
+def test_ejections_are_limited_and_end():
+    """Three of four targets fail at the same time; later one is only slow.
 
-    With all three out the fourth would take four times its load and fall over too:
-    only one may be out. It returns on time, and stays out longer if it fails again.
+    If all three were ejected, the fourth would get four times its load and fail too, so
+    only one may be ejected. It returns on time; its next ejection is longer.
     """
     ejector = OutlierEjector()
     ejector.keep(["t0", "t1", "t2", "t3"])
@@ -168,26 +170,26 @@
     assert ejector.ejected(8.0) == {"t3"}
 
 
-def failed(kind, mode=PolicyMode.SHARED, idempotent=False, attempts=1, deadline=9.0):
-    return FailedTry(kind, mode, idempotent, attempts, deadline, 0.3)
+def failed(kind, mode=PolicyMode.SHARED, is_idempotent=False, attempts=1, deadline=9.0):
+    return FailedTry(kind, mode, is_idempotent, attempts, deadline, 0.3)
 
 
 @pytest.mark.parametrize("kind", ErrorKind)
-def test_only_what_did_not_run_is_repeated_unless_idempotent(kind):
-    """For each kind of error: a booking whose answer was lost must not run twice."""
-    for mode, idempotent in itertools.product(PolicyMode, (False, True)):
-        decision = RetryBudget().may_retry(failed(kind, mode, idempotent), 0.0, 0.5)
-        if isinstance(decision, GiveUp):
+def test_only_requests_that_did_not_run_are_retried_unless_idempotent(kind):
+    """A booking must not be retried after an error that leaves open whether it ran."""
+    for mode, is_idempotent in itertools.product(PolicyMode, (False, True)):
+        decision = RetryBudget().may_retry(failed(kind, mode, is_idempotent), 0.0, 0.5)
+        if isinstance(decision, NoRetry):
             assert (decision.kind, decision.retry_after_s) == (kind, 0.3)
             continue
-        assert idempotent or ANSWER_BY_KIND[kind].ran is Ran.NO
+        assert is_idempotent or ANSWER_BY_KIND[kind].ran is Ran.NO
         assert kind in RELOCATED_KINDS | REFUSED_KINDS | LOST_KINDS
         at_owner = decision.place is RetryPlace.OWNER
         assert at_owner == (mode is PolicyMode.EXCLUSIVE)
         assert not (at_owner and kind in REFUSED_KINDS)
 
 
-def test_limits_of_retries_are_counted():
+def test_refused_retries_are_counted_by_reason():
     budget = RetryBudget()
     moving = failed(ErrorKind.MOVING, PolicyMode.EXCLUSIVE)
     first = budget.may_retry(moving, 0.0, 1.0)
@@ -201,11 +203,11 @@
     assert budget.counts_by_reason == {RetryReason.RELOCATED: 1}
 
 
-def test_retries_dry_up_when_all_fail():
-    """A target refuses everything for ten seconds; 1,000 requests a second come.
+def test_retries_stop_when_all_requests_fail():
+    """A target refuses 1,000 requests a second for ten seconds.
 
-    Retrying each would double the load on what is left. Only the saved tokens and the
-    floor are spent: 20 and 10; afterwards one success in ten earns a retry again.
+    Retrying each would double the load on the remaining targets. Only the 20 saved
+    tokens and the 10 of the floor are spent; then ten successes earn one retry.
     """
     budget = RetryBudget()
     full = failed(ErrorKind.TARGET_REFUSED, deadline=99.0)
@@ -218,11 +220,11 @@
     assert 4 <= sum(isinstance(decision, Retry) for decision in tries) <= 6
 
 
-def test_hedge_only_where_harmless_and_one_answer_wins():
-    """The first try is at a straggler; a second one starts and answers.
+def test_only_lookups_of_shared_services_are_hedged_and_one_answer_wins():
+    """The first try is slow; a second one starts and answers.
 
-    The caller gets that answer, the first try is cancelled, and its late answer goes
-    nowhere. Bookings and exclusive keys never have two tries at once.
+    The caller gets that answer, the first try is cancelled, and its late answer is
+    dropped. Bookings and exclusive services are never hedged.
     """
     limits = HedgeSettings()
     assert hedge_delay(PolicyMode.EXCLUSIVE, True, 0.02, limits) is None
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""Shared services and retries, over real sockets on loopback."""
+"""Tests of shared services and retries, over loopback sockets."""
 
 import contextlib
 import http.client
@@ -44,11 +44,12 @@
     return {g.plain["target"] for g in got}
 
 
-def test_any_target_answers_and_no_booking_is_taken(trio):
+def test_any_target_answers_lookups_and_bookings_are_refused(trio):
     """A key of a shared service is answered by several targets.
 
-    Nobody remembers its bookings, so they are refused at both ports, and run nowhere.
-    Lookups are raced, so their runs are not counted: a loser may begin and end late.
+    No ledger records its bookings, so they are refused at the caller and peer ports and
+    never run. Lookups aren't counted, as the slower try of a hedge may start and end
+    late.
     """
     assert len(targets_that_answer(trio[0])) > 1
     hops = {"Tamarackhaven_Hops": "1"}
@@ -70,17 +71,17 @@
         ("STATE_STALE", lambda node: setattr(node.daemon, "_confirmed_s", -999.0)),
     ],
 )
-def test_what_one_target_may_not_serve_another_does(trio, kind, cause):
+def test_a_lookup_refused_by_one_target_is_served_by_another(trio, kind, cause):
     cause(trio[1])
     wait_for(lambda: trio[0].ask(**LONG).status == 200)
     assert "t2" not in targets_that_answer(trio[0])
     assert trio[0].metrics.counter(RETRIES, reason=kind) > 0
 
 
-def test_a_slow_try_is_raced_and_its_loser_cancelled(trio):
-    """t3 takes 20 s; a caller gets the answer of another target long before.
+def test_a_slow_try_is_hedged_and_the_slower_one_cancelled(trio):
+    """t3 takes 20 s; the caller gets the answer of another target much earlier.
 
-    The try at t3 is cancelled there: it runs nothing to its end, and is idle soon.
+    The try at t3 is cancelled there: no request runs to its end, and t3 is idle soon.
     """
     first, slow = trio[0], trio[2].standin.target
     targets_that_answer(first, 40)
@@ -88,7 +89,7 @@
     slow.settings = attrs.evolve(slow.settings, service_ms=20_000)
     slow.honours_deadlines = False
 
-    # One connection that stays open: a caller that hangs up would cancel it, too.
+    # The connection stays open, as disconnecting would cancel the request too.
     caller = http.client.HTTPConnection("127.0.0.1", first.daemon.caller.port)
 
     def hedged():
@@ -102,7 +103,7 @@
     assert slow.served == served
 
 
-def test_a_quantile_of_recent_tries_forgets():
+def test_the_quantile_of_recent_tries_drops_old_values():
     quantile = RecentQuantile()
     for _ in range(19):
         quantile.add(9.0)
@@ -112,7 +113,7 @@
     assert 0.09 <= quantile.value_s <= 0.099
 
 
-def test_a_target_that_only_loses_races_is_left_out():
+def test_a_target_that_only_loses_races_is_ejected():
     members = [
         TargetMember("s", name, "z", "i", "n", Address("h", 1)) for name in "abc"
     ]
@@ -150,13 +151,13 @@
     assert metrics.counter(RETRIES_REFUSED, reason=reason) == 1
 
 
-RETRIED = sorted(
+RETRIED_KINDS = sorted(
     RELOCATED_KINDS | REFUSED_KINDS | LOST_KINDS, key=lambda kind: kind.value
 )
 
 
-@pytest.mark.parametrize("kind", RETRIED)
-def test_retries_are_counted_by_the_error_before_them(kind):
+@pytest.mark.parametrize("kind", RETRIED_KINDS)
+def test_retries_are_counted_by_the_preceding_error(kind):
     metrics = Metrics()
     clock = SimpleNamespace(boot_s=lambda: 100.0)
     retries = Retries(RetrySettings(), PolicyMode.SHARED, metrics, clock)
@@ -168,7 +169,7 @@
 
 
 class SilentDaemon:
-    """Takes connections and answers nothing; ``hang_up`` closes them."""
+    """Accepts connections and never answers; ``hang_up`` closes them."""
 
     def __init__(self):
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -190,7 +191,7 @@
 
 @pytest.fixture
 def frozen_owner():
-    """A daemon that asks, one that will own the key, and a frozen one that does."""
+    """Yield a forwarding daemon, the key's next owner and its frozen owner."""
     view = FakeView()
     nodes = [Node(view, f"t{n}", forward_wait_ms=10_000) for n in (1, 2)]
     silent = SilentDaemon()
@@ -204,10 +205,10 @@
 
 @pytest.mark.parametrize("lost", [False, True])
 def test_a_lookup_at_a_frozen_or_lost_daemon_goes_to_the_next_owner(frozen_owner, lost):
-    """The owner's daemon takes a lookup and freezes, or is lost before it answers.
+    """The owner's daemon receives a lookup and freezes, or is lost before it answers.
 
-    The group fences it and grants its shard to t2: the caller is answered by t2 then,
-    and doesn't wait for its deadline of 20 seconds.
+    The control group fences it and grants its shard to t2. The caller must then be
+    answered by t2, without waiting for its deadline of 20 seconds.
     """
     first, second, silent = frozen_owner
     got, started = [], _clock.boot_s()
