--- a/tamarackhaven/_http_server.py
+++ b/tamarackhaven/_http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers by ``waitress``, whose own errors also come from the closed table."""
+"""HTTP servers based on ``waitress``, with all errors taken from the error table."""
 
 import http.client
 import logging
@@ -24,15 +24,15 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 MAX_HEADER_BYTES = 16 * 1024
-# Services state smaller limits; this one bounds what a server holds in memory.
+# Services set smaller limits; this one limits the memory used for each request.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 _LISTEN_BACKLOG = 1024
-_CONNECTIONS = 2000
+_MAX_CONNECTIONS = 2000
 _LOOP_TIMEOUT_S = 0.2
-# Longer than any usual deadline; a drain has waited for what it could before.
-_FINISH_S = 5.0
-_FINISH_STEP_S = 0.02
-_QUIET_S = 0.1
+# Longer than usual deadlines. A drain has already waited for running requests.
+_STOP_TIMEOUT_S = 5.0
+_STOP_LOOP_TIMEOUT_S = 0.02
+_MIN_QUIET_S = 0.1
 _RECEIVED_KEY = "tamarackhaven.received_s"
 _OVERLOADED_KEY = "tamarackhaven.overloaded"
 _GONE_KEY = "waitress.client_disconnected"
@@ -45,7 +45,7 @@
 
 
 class _KindError(Error):
-    """An error of the closed list in the form that waitress passes on."""
+    """Carries an ``ErrorKind`` through waitress's error handling."""
 
     def __init__(self, kind, detail=""):
         super().__init__(detail)
@@ -53,7 +53,7 @@
 
 
 class _Parser(HTTPRequestParser):
-    """A parser that notes duplicates before waitress joins them by a comma."""
+    """A parser that detects duplicate headers before waitress joins their values."""
 
     duplicate = ""
     received_s = 0.0
@@ -69,12 +69,12 @@
         return consumed
 
     def parse_header(self, header_plus):
-        self.duplicate = _duplicate(header_plus)
+        self.duplicate = _find_duplicate(header_plus)
         super().parse_header(header_plus)
 
 
-def _duplicate(header_plus):
-    """Return the name of a header that stands twice and must not, or an empty text."""
+def _find_duplicate(header_plus):
+    """Return a header of ``SINGLE_HEADERS`` that is repeated, or an empty string."""
     seen = set()
     for line in header_plus.split(b"\r\n")[1:]:
         name = line.partition(b":")[0].decode("latin-1").lower()
@@ -87,8 +87,8 @@
 
 class _Task(WSGITask):
     def build_response_header(self):
-        # As late as possible, so that it also reaches answers to requests that were
-        # running when the stop began.
+        # Checked as late as possible, so that it also applies to answers of requests
+        # that were running when the stop began.
         if self.channel.server.close_connections:
             self.set_close_on_finish()
         return super().build_response_header()
@@ -101,7 +101,7 @@
 
 
 class _ErrorTask(ErrorTask):
-    """Answers what waitress itself refuses, out of the closed table."""
+    """Answers requests that waitress itself refuses, from the error table."""
 
     def execute(self):
         error = self.request.error
@@ -116,52 +116,52 @@
 
 
 class _Dispatcher(ThreadedTaskDispatcher):
-    """Threads whose line has an end; one more thread answers what is beyond it.
+    """A thread pool with a limited queue; an extra thread refuses requests beyond it.
 
-    Load: callers send more than all threads can take, at a target that is slow. Harm
-    prevented: waitress's own line has no end and no deadline, so its requests would be
-    answered when nobody waits any more, and the gate, which refuses at once, would
-    never see them. Reason for the limit: with as many in line as there are threads,
-    the last one waits for one round of the requests before it.
+    When a target is slow, callers may send more requests than the threads can serve.
+    waitress's own queue has neither a limit nor a deadline: its requests would be
+    answered after their callers are gone, and would never reach the gate, which refuses
+    immediately. With as many queued requests as threads, the last one waits for one
+    round of the requests before it.
     """
 
     def __init__(self, threads):
         super().__init__()
-        self._most_waiting = threads
-        self._refusing = ThreadedTaskDispatcher()
-        self._refusing.set_thread_count(1)
+        self._max_queued = threads
+        self._refusal_dispatcher = ThreadedTaskDispatcher()
+        self._refusal_dispatcher.set_thread_count(1)
         self.set_thread_count(threads)
 
     def add_task(self, task):
-        if len(self.queue) >= self._most_waiting and task.requests:
+        if len(self.queue) >= self._max_queued and task.requests:
             task.requests[0].overloaded = True
-            self._refusing.add_task(task)
+            self._refusal_dispatcher.add_task(task)
         else:
             super().add_task(task)
 
     def shutdown(self, cancel_pending=True, timeout=5):
-        self._refusing.shutdown(cancel_pending, timeout)
+        self._refusal_dispatcher.shutdown(cancel_pending, timeout)
         return super().shutdown(cancel_pending, timeout)
 
 
 class _Channel(HTTPChannel):
-    """A channel that answers a request which ends before its stated length.
+    """A channel that answers a request which ends before its declared length.
 
-    waitress drops such a request without a word, and a caller whose proxy cut its
-    body off would see a lost connection and not know that nothing ran.
+    waitress drops such a request without an answer. A caller whose proxy truncated the
+    body would see a closed connection and not know that the request did not run.
     """
 
     parser_class = _Parser
     task_class = _Task
     error_task_class = _ErrorTask
-    _ended = False
+    _input_ended = False
 
     def readable(self):
-        return not self._ended and super().readable()
+        return not self._input_ended and super().readable()
 
     def handle_close(self):
         if self._ends_within_request():
-            self._ended = True
+            self._input_ended = True
             self._answer_truncated()
             return
         super().handle_close()
@@ -170,7 +170,7 @@
         started = self.request is not None and (
             self.request.header_plus or self.request.headers_finished
         )
-        return bool(started and not self._ended and not self.will_close)
+        return bool(started and not self._input_ended and not self.will_close)
 
     def _answer_truncated(self):
         with self.requests_lock:
@@ -178,33 +178,33 @@
             kind = ErrorKind.MALFORMED_REQUEST
             if request.headers_finished:
                 kind = ErrorKind.BODY_TRUNCATED
-            request.error = _KindError(kind, "The connection ended within it.")
+            request.error = _KindError(kind, "The connection ended within the request.")
             request.completed = True
             self.requests.append(request)
             if len(self.requests) == 1:
                 self.server.add_task(self)
 
     def is_busy(self):
-        """Return whether a request may be on its way in, or an answer out."""
+        """Return whether a request may be arriving or an answer is being sent."""
         if self.requests or self.total_outbufs_len:
             return True
-        return time.time() - self.last_activity < _QUIET_S
+        return time.time() - self.last_activity < _MIN_QUIET_S
 
     def handle_read(self):
         super().handle_read()
-        if self._ended:
-            # The base class notes an end of input as a closed connection; the other
-            # direction is still open for the answer.
+        if self._input_ended:
+            # The base class treats an end of input as a closed connection, but the
+            # other direction is still open for the answer.
             self.connected = True
 
 
 def status_line(status):
-    """Return the status with its reason phrase."""
+    """Return the HTTP status code with its reason phrase."""
     return f"{status} {http.client.responses.get(status, 'Refused')}"
 
 
 def raw_request(environ):
-    """Return the request in a WSGI environment as a ``RawRequest``."""
+    """Return the request of a WSGI environment as a ``RawRequest``."""
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
@@ -224,13 +224,13 @@
     )
 
 
-def gone_check(environ):
-    """Return a callable that says whether the caller has hung up."""
+def caller_gone_check(environ):
+    """Return a callable that returns whether the caller has disconnected."""
     return environ.get(_GONE_KEY, lambda: False)
 
 
 def respond(answer, start_response):
-    """Give an ``HttpAnswer`` to WSGI."""
+    """Start a WSGI response for an ``HttpAnswer`` and return its body parts."""
     headers = list(answer.headers)
     if not answer.header("Content-Length"):
         headers.append(("Content-Length", str(len(answer.body))))
@@ -239,35 +239,36 @@
 
 
 class HttpServer:
-    """One WSGI application on one port, in a thread of its own.
+    """Serves a WSGI application on one port, in a separate thread.
 
     Parameters
     ----------
     app : callable
         The WSGI application.
     listen : Listen
-        Where to listen; port 0 takes any free one.
+        Address to listen on; port 0 selects any free port.
     threads : int
-        Requests served at once; more wait, and their wait counts.
+        Number of requests served concurrently. As many more are queued, and their
+        time in the queue counts towards their deadline.
     name : str
-        For the thread.
+        Name of the thread, also used in errors about the port.
     header_bytes : int
-        Largest size of a request's first line and headers.
+        Maximum size of a request's first line and headers.
     """
 
     def __init__(self, app, listen, threads, name, header_bytes=MAX_HEADER_BYTES):
-        # Its lines would reach standard error unformatted; ours say the same.
+        # Its log lines would go to standard error unformatted and repeat ours.
         logging.getLogger("waitress").setLevel(logging.CRITICAL)
         self._server = waitress.create_server(
             app,
-            sockets=[_bound(listen, name)],
+            sockets=[_bind(listen, name)],
             _dispatcher=_Dispatcher(threads),
             backlog=_LISTEN_BACKLOG,
-            connection_limit=_CONNECTIONS,
+            connection_limit=_MAX_CONNECTIONS,
             max_request_header_size=header_bytes,
             max_request_body_size=MAX_BODY_BYTES,
-            # Without it waitress reads nothing while a request runs, and would not
-            # notice that the caller hung up.
+            # Without it waitress doesn't read while a request runs and wouldn't detect
+            # that the caller disconnected.
             channel_request_lookahead=1,
             asyncore_loop_timeout=_LOOP_TIMEOUT_S,
             asyncore_use_poll=True,
@@ -281,26 +282,26 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self):
-        """Serve from now on."""
+        """Start serving in the server's thread."""
         self._thread.start()
 
-    def occupied(self):
-        """Return the number of requests that run or wait for a thread."""
+    def unfinished_requests(self):
+        """Return the number of requests that run or are queued for a thread."""
         dispatcher = self._server.task_dispatcher
         return dispatcher.active_count + len(dispatcher.queue)
 
     def close_after_answers(self):
         """Close each connection after its next answer.
 
-        A caller that sent a request on a connection which is closed without an answer
-        can't know whether it ran.
+        If a connection were closed without an answer, a caller that had sent a request
+        on it couldn't know whether it ran.
         """
         self._server.close_connections = True
 
     def stop(self):
-        """Take no more connections, answer what has come in, end the threads.
+        """Stop accepting connections, answer received requests, stop the threads.
 
-        What is not answered ``_FINISH_S`` later is cut off.
+        Connections that aren't answered within ``_STOP_TIMEOUT_S`` seconds are closed.
         """
         self._stopping = True
         self._server.pull_trigger()
@@ -313,26 +314,29 @@
             server.asyncore.loop(
                 timeout=_LOOP_TIMEOUT_S, map=server._map, use_poll=True, count=1
             )
-        self._finish()
+        self._answer_received()
         server.task_dispatcher.shutdown(timeout=1)
         server.asyncore.close_all(server._map)
 
-    def _finish(self):
-        """Answer all that has come in, and close the listening socket before that.
+    def _answer_received(self):
+        """Close the listening socket, then answer all requests already received.
 
-        Failure: requests arrive up to the moment of the stop, and answers still wait
-        to be written after the application gave them. Symptom: a planned stop cuts
-        callers off, and they can't know whether their bookings ran. Enough: what the
-        system had queued is accepted first, each connection is closed after its next
-        answer, and one is given up only when nothing came in for ``_QUIET_S``, so the
-        bytes of a request that were on the way have arrived.
+        Requests may arrive until the moment of the stop, and answers may be buffered
+        after the application has returned them. Closing their connections would leave
+        callers without knowing whether their bookings ran. Therefore the connections
+        queued by the operating system are accepted first, each connection is closed
+        after its next answer, and one without a request is closed only after no input
+        for ``_MIN_QUIET_S`` seconds, so that bytes in transit have arrived.
         """
         self._server.close_connections = True
         self._stop_listening()
-        end = boot_s() + _FINISH_S
+        end = boot_s() + _STOP_TIMEOUT_S
         while self._is_busy() and boot_s() < end:
             self._server.asyncore.loop(
-                timeout=_FINISH_STEP_S, map=self._server._map, use_poll=True, count=1
+                timeout=_STOP_LOOP_TIMEOUT_S,
+                map=self._server._map,
+                use_poll=True,
+                count=1,
             )
 
     def _stop_listening(self):
@@ -351,7 +355,7 @@
         return any(channel.is_busy() for channel in channels)
 
 
-def _bound(listen, name):
+def _bind(listen, name):
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/tamarackhaven/_peers.py
+++ b/tamarackhaven/_peers.py
@@ -1,7 +1,7 @@
 """Sends consensus messages and fence requests to the other control VMs.
 
-A message that can't be sent is dropped: the consensus state machine repeats what
-matters, and a queue for a VM that is cut off would only grow.
+A message that can't be sent is dropped: the consensus state machine sends important
+messages again, and the queue for an unreachable VM would grow without limit.
 """
 
 import asyncio
@@ -14,22 +14,22 @@
 from tamarackhaven._raft_wire import to_wire
 from tamarackhaven._wire_grpc import ControlStub, PeerStub
 
-# At 50 ms heartbeats this is some seconds of messages; older ones are useless.
-QUEUE_MESSAGES = 256
+# At 50 ms heartbeats this holds some seconds of messages; older ones are obsolete.
+MAX_QUEUED_MESSAGES = 256
 STEP_TIMEOUT_S = 2.0
 FENCE_TIMEOUT_S = 0.5
 
 
 @attrs.frozen
 class FenceAnswer:
-    """What one control VM answered to a fence request; times in seconds."""
+    """A control VM's answer to a fence request; ``remaining_s`` is in seconds."""
 
     fenced: bool
     remaining_s: float
 
 
 class Peers:
-    """Connections from one control VM to the others."""
+    """Holds the connections of one control VM to the others."""
 
     def __init__(self, name, loop_thread, membership):
         self._name = name
@@ -39,11 +39,11 @@
         self._queue_by_name = {}
 
     def set_membership(self, membership):
-        """Send to these members from now on; removed ones can still be reached."""
+        """Add the members of a new membership; removed members remain reachable."""
         self._member_by_name = self._member_by_name | membership.by_name
 
     def send(self, messages):
-        """Queue consensus messages; returns at once."""
+        """Queue consensus messages without blocking."""
         self._loop_thread.loop.call_soon_threadsafe(self._enqueue, messages)
 
     def _enqueue(self, messages):
@@ -58,16 +58,16 @@
     def _queue(self, name):
         queue = self._queue_by_name.get(name)
         if queue is None and name in self._member_by_name and name != self._name:
-            queue = asyncio.Queue(QUEUE_MESSAGES)
+            queue = asyncio.Queue(MAX_QUEUED_MESSAGES)
             self._queue_by_name[name] = queue
             self._loop_thread.loop.create_task(self._send_queue(name, queue))
         return queue
 
     async def _send_queue(self, name, queue):
-        """Keep one call open and send into it, again after each failure.
+        """Send the queue over one open call, and open another after each failure.
 
-        A call for each batch cost a round trip before the next batch could leave, and
-        most of the processor time of a heartbeat.
+        A separate call for each batch cost a round trip before the next batch could be
+        sent, and most of the CPU time of a heartbeat.
         """
         while True:
             try:
@@ -75,10 +75,9 @@
                     while True:
                         await self._send_batch(stream, queue)
             except Exception:
-                # Whatever it was, the next call may do: a task that ended would leave
-                # that VM without messages for good, and nobody would hear of it.
-                # Refused at once when the VM is down: without a pause this would
-                # spin on one core until it comes back.
+                # All errors are retried: if this task ended, the VM would never get
+                # another message, and nothing would report that. The pause prevents a
+                # busy loop while the VM is down and refuses connections immediately.
                 await asyncio.sleep(0.02)
 
     async def _send_batch(self, stream, queue):
@@ -86,8 +85,8 @@
         while not queue.empty():
             batch.append(queue.get_nowait())
         request = pb.StepRequest(messages=[to_wire(message) for message in batch])
-        # A VM that takes no bytes any more, but keeps the connection: without a bound
-        # this would wait for it for ever, and not try a new call.
+        # A VM may stop reading without closing the connection. Without a timeout, this
+        # would block permanently and never open a new call.
         await asyncio.wait_for(stream.send_message(request), STEP_TIMEOUT_S)
 
     def fence(self, name, service, target, epoch):
@@ -96,7 +95,7 @@
         Returns
         -------
         concurrent.futures.Future
-            Of a ``FenceAnswer``, or None if the VM gave no answer.
+            Resolves to a ``FenceAnswer``, or to None if the VM didn't answer.
         """
         return self._loop_thread.submit(self._fence(name, service, target, epoch))
 
@@ -110,7 +109,7 @@
         return FenceAnswer(reply.fenced, reply.remaining_ms / 1000)
 
     def control_stub(self, name):
-        """Return the stub of a member's service for daemons and operators, or None."""
+        """Return the stub of a member's control service, or None if it is unknown."""
         if name not in self._member_by_name:
             return None
         return ControlStub(self._channel(name))
--- a/tests/test_failure_points.py
+++ b/tests/test_failure_points.py
@@ -1,4 +1,4 @@
-"""Tests of the table "did it run" with a target that counts executions."""
+"""Tests of the table of failure points with a target that counts executions."""
 
 import pytest
 
@@ -11,8 +11,8 @@
 from tamarackhaven._ledger import BookingEnd
 from tamarackhaven.errors import ANSWER_BY_KIND, Ran
 
-# Steps of a request's way, and the point that lies behind each of them. The points
-# before the first of these steps have sent nothing.
+# The steps that a request has passed when it fails at each point. At points that aren't
+# listed nothing was sent.
 STEPS_BY_POINT = {
     FailurePoint.FORWARD_AFTER_SEND: ["send-part", "send-rest"],
     FailurePoint.DURING_SEND: ["send-part"],
@@ -32,13 +32,13 @@
 
 
 class CountingTarget:
-    """The worst target: runs a request as soon as a part of it has come."""
+    """The worst case: a target that runs a request when its first part arrives."""
 
     def __init__(self):
         self.executions = 0
         self.shedding = False
 
-    def take(self, step):
+    def receive(self, step):
         if step == "shed":
             self.shedding = True
         elif step == "send-part" and not self.shedding:
@@ -46,16 +46,16 @@
 
 
 @pytest.mark.parametrize("point", FailurePoint)
-def test_did_not_run_is_true_at_every_point(point):
-    """A caller that hears "did not run" repeats the request.
+def test_no_request_has_run_where_the_table_says_no(point):
+    """A caller that is answered "did not run" sends the request again.
 
-    The target runs it at the first byte, the harshest reading. A row that says NO
-    for a point behind that byte would let the caller's repeat run a second time.
+    The target is assumed to run a request at its first byte. With a row that says NO
+    for a point after that byte, the caller's retry would run a second time.
     """
     failure = FAILURE_BY_POINT[point]
     target = CountingTarget()
     for step in STEPS_BY_POINT.get(point, []):
-        target.take(step)
+        target.receive(step)
     assert failure.ran is ANSWER_BY_KIND[failure.kind].ran
     if failure.ran is Ran.NO:
         assert target.executions == 0
@@ -71,5 +71,5 @@
     [(503, ["1"], True), (503, [], False), (503, ["1", "1"], False)]
     + [(503, ["0"], False), (500, ["1"], False), (200, ["1"], False)],
 )
-def test_only_a_clear_word_of_the_target_counts(status, values, expected):
+def test_only_an_unambiguous_refusal_counts_as_not_run(status, values, expected):
     assert says_not_run(status, values) is expected
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""A stop of the HTTP server cuts nothing off that came in before it."""
+"""Tests that a stop of the HTTP server answers requests received before it."""
 
 import http.client
 import threading
@@ -6,44 +6,44 @@
 from tamarackhaven._http_server import HttpServer
 from tamarackhaven._settings import Listen
 
-WAIT_S = 30
+TIMEOUT_S = 30
 BODY = b"x" * (4 * 1024 * 1024)
 
 
-def test_a_stop_answers_what_came_in_before_it():
-    """A caller's request is running, its answer is larger than the socket's buffer.
+def test_a_stop_answers_requests_received_before_it():
+    """The server is stopped while a request runs, before the application answers.
 
-    The server is told to stop before the application answers. Closed at once, the
-    connection would break in the answer, and the caller could not know what ran. A
-    connection made afterwards is refused, so nothing is lost in it.
+    The answer is larger than the socket's buffer. If the connection were closed
+    immediately, the answer would be truncated and the caller couldn't know what ran.
+    Later connections are refused, so no request is lost in them.
     """
-    entered, answer_now = threading.Event(), threading.Event()
+    started, may_answer = threading.Event(), threading.Event()
 
     def app(environ, start_response):
-        entered.set()
-        answer_now.wait(WAIT_S)
+        started.set()
+        may_answer.wait(TIMEOUT_S)
         start_response("200 OK", [("Content-Length", str(len(BODY)))])
         return [BODY]
 
     server = HttpServer(app, Listen("127.0.0.1", 0), 1, "test")
     server.start()
-    connection = http.client.HTTPConnection("127.0.0.1", server.port, timeout=WAIT_S)
+    connection = http.client.HTTPConnection("127.0.0.1", server.port, timeout=TIMEOUT_S)
     connection.request("GET", "/")
-    assert entered.wait(WAIT_S)
+    assert started.wait(TIMEOUT_S)
     stopping = threading.Thread(target=server.stop)
     stopping.start()
-    while _connects(server.port):
+    while _accepts_connections(server.port):
         pass
-    answer_now.set()
+    may_answer.set()
     answer = connection.getresponse()
     assert answer.read() == BODY
     assert answer.headers["Connection"] == "close"
-    stopping.join(WAIT_S)
+    stopping.join(TIMEOUT_S)
     assert not stopping.is_alive()
 
 
-def _connects(port):
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=WAIT_S)
+def _accepts_connections(port):
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     try:
         connection.connect()
     except ConnectionRefusedError:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""How the attempts of callers ended, from the logs of many processes."""
+"""Tests of counting the ends of attempts from the logs of several processes."""
 
 import json
 
@@ -44,7 +44,7 @@
 ]
 
 
-def test_each_attempt_counts_once_by_how_it_ended():
+def test_each_attempt_counts_once_by_its_end():
     found = {loss.end: loss.count for loss in losses(read_lines(LOGS))}
     assert found == {
         _losses.IN_TIME: 1,
@@ -56,18 +56,18 @@
     }
 
 
-def test_the_parts_of_a_route_add_up_to_all_of_it():
+def test_the_parts_of_a_route_add_up_to_one():
     parts = [loss.part for loss in losses(read_lines(LOGS))]
     assert sum(parts) == pytest.approx(1.0)
 
 
-def test_an_attempt_that_is_sent_again_counts_by_its_last_end():
+def test_a_retried_attempt_counts_by_its_last_end():
     logs = [answered("x", 1.0, 0.1, status="500"), answered("x", 1.2, 0.3)]
     (loss,) = losses(read_lines(reversed(logs)))
     assert loss.end == _losses.IN_TIME
 
 
-def test_the_command_prints_one_line_an_end(tmp_path, capsys):
+def test_the_command_prints_one_line_per_end(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOGS))
     main(["losses", str(log)])
--- a/tests/test_path_http.py
+++ b/tests/test_path_http.py
@@ -1,4 +1,4 @@
-"""The request path over real sockets on loopback."""
+"""Tests of the request path over loopback sockets."""
 
 import contextlib
 import json
@@ -19,30 +19,30 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tests.fakes import FakeView, Node, ask, booking, daemon_settings, running, wait_for
 
-ALL = range(4)
+ALL_SHARDS = range(4)
 SHARD = shard_of(hash_key("s", "k"), 4)
 
 
 @pytest.fixture(scope="module")
 def pair():
-    """Two daemons with one view; t1 owns all shards."""
+    """Yield two daemons that share a view; t1 owns all shards."""
     view = FakeView()
     first, second = Node(view, "t1"), Node(view, "t2")
     with running(first, second):
-        first.own(*ALL)
+        first.own(*ALL_SHARDS)
         yield first, second
 
 
 @pytest.fixture
 def node():
-    made = Node(FakeView(), standin=StandinSettings(service_ms=300))
-    with running(made):
-        made.own(*ALL)
-        yield made
+    slow_node = Node(FakeView(), standin=StandinSettings(service_ms=300))
+    with running(slow_node):
+        slow_node.own(*ALL_SHARDS)
+        yield slow_node
 
 
 def raw_exchange(port, data, end=False):
-    """Send bytes and return all that comes back until the server closes."""
+    """Send bytes and return everything received until the server closes."""
     with socket.create_connection(("127.0.0.1", port), 20) as sock:
         sock.sendall(data)
         if end:
@@ -53,7 +53,7 @@
     return b"".join(parts).decode()
 
 
-def test_lookups_and_bookings_reach_the_owner_through_one_and_two_daemons(pair):
+def test_lookups_and_bookings_reach_the_owner_directly_or_forwarded(pair):
     for number, node in enumerate(pair):
         got = node.ask(Tamarackhaven_Request_Id=f"r{number}")
         assert (got.status, got.plain["target"], got.ran) == (200, "t1", "yes")
@@ -86,7 +86,9 @@
         ("MALFORMED_REQUEST", "s/k", "GET", {}),
     ],
 )
-def test_bad_input_has_its_kind_and_did_not_run(pair, kind, path, method, headers):
+def test_bad_input_is_refused_with_its_kind_and_not_run(
+    pair, kind, path, method, headers
+):
     served = pair[0].standin.target.served
     headers = dict(headers)
     body = b"x" * headers.pop("body", 0)
@@ -114,9 +116,10 @@
     ],
 )
 def test_broken_http_is_answered_from_the_table(pair, kind, text):
-    """What waitress refuses, or drops without a word, gets a row of the table.
+    """Requests that waitress refuses or drops are answered from the error table.
 
-    A caller whose connection just closes can't know whether its booking ran.
+    A caller whose connection closes without an answer can't know whether its booking
+    ran.
     """
     end = not text.endswith("\r\n") and kind != "DUPLICATE_HEADER"
     answer = raw_exchange(pair[0].daemon.caller.port, text.encode(), end)
@@ -133,7 +136,7 @@
     assert " 201 " in raw_exchange(port, (head + body).encode())
 
 
-def test_a_head_request_tells_the_length_of_the_whole_answer(pair):
+def test_a_head_answer_has_the_length_of_the_body(pair):
     length = len(pair[0].ask().body)
     for node in pair:
         got = node.ask("HEAD")
@@ -144,7 +147,7 @@
         )
 
 
-def test_what_the_owner_may_not_serve_is_refused(pair):
+def test_an_owner_without_lease_or_in_a_zone_out_refuses(pair):
     first, second = pair
     refusals = [
         ("LEASE_LOST", lambda: setattr(first.lease, "until_s", 0.0)),
@@ -164,7 +167,7 @@
     assert first.metrics.counter("tamarackhaven_refusals_total", kind="ZONE_OUT") == 2
 
 
-def test_a_refusal_is_logged_under_the_ids_that_its_caller_gets(pair):
+def test_a_refusal_is_logged_with_the_ids_returned_to_the_caller(pair):
     got = pair[0].ask(path="/none/k", Tamarackhaven_Request_Id="r-log")
     line = next(x for x in pair[0].lines if x.get("request_id") == "r-log")
     assert line["sentence"] == "path: request refused as UNKNOWN_SERVICE"
@@ -172,7 +175,7 @@
 
 
 def test_a_refused_request_is_explained_by_its_id(node):
-    """A caller asks later why it was refused; the daemon still knows."""
+    """The daemon must still report the reason when a caller asks later."""
     refused = node.ask(path="/none/k", Tamarackhaven_Request_Id="r-1")
     address = f"127.0.0.1:{node.daemon.metrics_page.port}"
     (found,) = plumbing.refusals_of(address, "r-1")
@@ -183,21 +186,22 @@
     assert plumbing.refusals_of(address, "r-2") == []
 
 
-def test_state_that_was_not_confirmed_is_not_acted_on():
+def test_requests_are_refused_while_the_state_is_unconfirmed():
     node = Node(FakeView(), stale_s=0.1)
     with running(node):
-        node.own(*ALL)
+        node.own(*ALL_SHARDS)
         wait_for(lambda: node.ask().status == 503)
         assert node.ask().name == "STATE_STALE"
         node.daemon.on_confirmed(_clock.boot_s() + 60)
         assert node.ask().status == 200
 
 
-def test_a_moving_shard_is_answered_by_its_new_owner():
-    """A caller asks while its key moves from t1 to t2, and gets one answer from t2.
+def test_a_request_for_a_moving_shard_is_answered_by_its_new_owner():
+    """A request for a key that moves from t1 to t2 is answered once, by t2.
 
-    t1 stops the shard and refuses as MOVING, which did not run; the daemon that asked
-    waits a bounded time for a newer grant and asks the new owner once.
+    t1 stops the shard and refuses with MOVING, which means that it did not run. The
+    daemon that received the request waits a limited time for a newer grant and tries
+    the new owner once.
     """
     view = FakeView()
     nodes = [Node(view, f"t{n}", forward_wait_ms=10_000) for n in (1, 2, 3)]
@@ -224,27 +228,27 @@
             assert node.metrics.counter(name, reason="MOVING") == 1
 
 
-def _refused(node, kind):
+def _count_refusals(node, kind):
     return node.metrics.counter("tamarackhaven_refusals_total", kind=kind)
 
 
-def test_waits_for_an_owner_are_bounded_and_daemons_never_loop(pair):
+def test_waits_for_an_owner_are_limited_and_forwarding_never_loops(pair):
     first, _ = pair
     first.view.grant(SHARD, "t9", 50)
     assert first.ask().name == "NO_OWNER"
     first.view.grant(SHARD, "t2", 51)
     try:
-        # The second daemon owns it by the view, but its own grant has not arrived.
+        # By the view the second daemon is the owner, but it hasn't got its grant yet.
         assert first.ask().name == "MOVING"
         hops = {"Tamarackhaven_Hops": "2"}
         assert ask(first.daemon.peer.port, **hops).name == "FORWARD_LOOP"
         hops = {"Tamarackhaven_Hops": "1"}
         assert ask(first.daemon.peer.port, **hops).name == "NOT_OWNER"
     finally:
-        first.own(*ALL, grant=60)
+        first.own(*ALL_SHARDS, grant=60)
 
 
-def test_a_lost_owner_daemon_did_not_run_the_request(pair):
+def test_an_unreachable_owner_daemon_did_not_run_the_request(pair):
     first, _ = pair
     member = first.view.member_by_name["t1"]
     with socket.socket() as unused:
@@ -256,10 +260,10 @@
     assert (got.name, got.ran) == ("OWNER_UNREACHABLE", "no")
 
 
-def test_a_drain_cuts_off_nothing_and_refuses_new_work(node):
-    """SIGTERM while a request runs: its caller gets the whole answer.
+def test_a_drain_finishes_running_requests_and_refuses_new_ones(node):
+    """A drain, as on SIGTERM, must let the running request answer its caller.
 
-    Later ones get 503 and "did not run", and their connection is closed after it.
+    Later requests get 503 and "did not run", and their connection is closed afterwards.
     """
     got = []
     thread = threading.Thread(target=lambda: got.append(node.ask()))
@@ -276,37 +280,37 @@
     assert (got[0].status, drained) == (200, [True])
 
 
-def test_a_leaving_target_gets_no_new_work_and_a_new_start_does(node):
+def test_a_leaving_target_gets_no_requests_until_it_restarts(node):
     node.standin.announcer.leave()
     assert node.ask().name == "DRAINING"
     node.standin.target.incarnation = "another"
     wait_for(lambda: node.ask().status == 200)
 
 
-def test_a_caller_that_hangs_up_frees_the_queue(node):
-    """Callers hang up while they wait: their requests leave the queue unsent."""
+def test_queued_requests_of_disconnected_callers_are_withdrawn(node):
+    """Requests of callers that disconnect while queued are withdrawn unsent."""
     node.standin.target.settings = attrs.evolve(
         node.standin.target.settings, service_ms=1500
     )
-    socks = [_asking(node, b"9000") for _ in range(8)]
+    socks = [_send_lookup(node, b"9000") for _ in range(8)]
     wait_for(lambda: node.daemon.in_flight("s", SHARD) == 8)
     for sock in socks:
         sock.close()
     wait_for(lambda: node.daemon.in_flight("s", SHARD) == 0)
-    assert _refused(node, "CALLER_GONE") == 8
+    assert _count_refusals(node, "CALLER_GONE") == 8
 
 
-def test_a_burst_at_a_cold_target_stays_within_what_it_bears():
-    """Sixteen callers ask at once for a target that bears one request at a time.
+def test_a_burst_at_a_cold_target_never_exceeds_its_slots():
+    """Sixteen callers send requests to a cold target that can run one at a time.
 
-    Its daemon admits one, lets some wait and refuses the rest as cold; each caller
-    gets one answer, refusals name a time, and the target never has two at once.
+    Its daemon admits one, queues some and refuses the rest as cold. Each caller gets
+    one answer, refusals include a time, and the target never runs two at once.
     """
     standin = StandinSettings(service_ms=50, cold_slots=1, cold_s=600)
     gate = GateSettings(cold_requests=1, cold_s=600, queue_requests=4, queue_ms=5000)
     node = Node(FakeView(), standin=standin, gate=gate, threads=16)
     with running(node), ThreadPoolExecutor(16) as pool:
-        node.own(*ALL)
+        node.own(*ALL_SHARDS)
         ids = [f"r{number}" for number in range(16)]
         got = list(pool.map(lambda r: node.ask(Tamarackhaven_Request_Id=r), ids))
         assert [g.headers["tamarackhaven-request-id"] for g in got] == ids
@@ -317,25 +321,28 @@
         assert (counts["overruns"], counts["refused"]) == (0, {})
 
 
-def test_callers_beyond_all_threads_are_refused_at_once():
-    """Two threads, two in line, a target that takes 20 s: the fifth hears at once.
+def test_requests_beyond_threads_and_queue_are_refused_immediately():
+    """With two threads and two queued requests, the fifth is refused immediately.
 
-    Without an end to the line it would hear after 20 s, when it has gone.
+    The target takes 20 s. With an unlimited queue the fifth caller would be answered
+    after 20 s, when it is gone.
     """
     slow = StandinSettings(service_ms=20_000)
     node = Node(FakeView(), standin=slow, threads=2)
     with running(node), contextlib.ExitStack() as open_sockets:
-        node.own(*ALL)
+        node.own(*ALL_SHARDS)
         for count in range(1, 5):
-            open_sockets.enter_context(_asking(node, b"20000"))
-            wait_for(lambda count=count: node.daemon.caller.occupied() == count)
+            open_sockets.enter_context(_send_lookup(node, b"20000"))
+            wait_for(
+                lambda count=count: node.daemon.caller.unfinished_requests() == count
+            )
         got = node.ask()
         assert (got.name, got.ran) == ("QUEUE_FULL", "no")
-        assert node.daemon.caller.occupied() == 4
+        assert node.daemon.caller.unfinished_requests() == 4
 
 
-def _asking(node, deadline_ms):
-    """Return a socket on which a lookup was sent."""
+def _send_lookup(node, deadline_ms):
+    """Return a connected socket after sending a lookup on it."""
     sock = socket.create_connection(("127.0.0.1", node.daemon.caller.port))
     head = b"GET /s/k HTTP/1.1\r\nHost: h\r\nTamarackhaven-Deadline-Ms: "
     sock.sendall(head + deadline_ms + b"\r\n\r\n")
@@ -343,7 +350,7 @@
 
 
 def test_a_request_past_its_deadline_is_cancelled_at_the_target(node):
-    """The caller hears "unknown" at its deadline, and the target stops working on it.
+    """At the deadline the caller is answered "unknown" and the target stops working.
 
     Without the cancellation the target would be busy for another 20 seconds.
     """
@@ -368,7 +375,7 @@
     assert node.daemon.link.state().announcement.address == announced
 
 
-def test_a_taken_port_is_named():
+def test_an_error_names_the_port_that_is_in_use():
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
