--- a/tamarackhaven/_forward.py
+++ b/tamarackhaven/_forward.py
@@ -49,7 +49,7 @@
         """
         connections = self._connections(located.owner.peer)
         try:
-            answer = send(connections, _outgoing(request, located), gone)
+            answer = send(connections, _build_outgoing_request(request, located), gone)
         except TamarackhavenError as error:
             kind = _FORWARD_KIND_BY_SEND_KIND.get(error.kind, error.kind)
             raise TamarackhavenError(kind, error.detail) from error
@@ -101,7 +101,7 @@
     return RELOCATED_KINDS | {ErrorKind.CANCELLED}
 
 
-def _outgoing(request, located):
+def _build_outgoing_request(request, located):
     left_ms = int((request.deadline_s - boot_s()) * 1000)
     if left_ms <= 0:
         raise TamarackhavenError(ErrorKind.DEADLINE_PAST)
--- a/tamarackhaven/_outliers.py
+++ b/tamarackhaven/_outliers.py
@@ -62,7 +62,7 @@
     def __init__(self, settings=None):
         self.settings = settings or OutlierSettings()
         self._health_by_target = {}
-        self.capped = 0
+        self.suppressed_ejections = 0
 
     def keep(self, targets):
         """Track exactly these targets and forget all others."""
@@ -129,7 +129,7 @@
         count = len(self._health_by_target)
         max_ejected = max(1, int(count * self.settings.max_share))
         if count < 2 or len(self.ejected(now)) >= max_ejected:
-            self.capped += 1
+            self.suppressed_ejections += 1
             return False
         ejection_s = self.settings.base_s * 2.0**health.ejections
         health.ejected_until_s = now + min(self.settings.max_s, ejection_s)
--- a/tamarackhaven/_owner.py
+++ b/tamarackhaven/_owner.py
@@ -24,7 +24,7 @@
 from tamarackhaven._verify import verify
 from tamarackhaven.errors import ErrorKind, Ran, TamarackhavenError
 
-IN_PROGRESS_RETRY_S = 0.5
+IN_PROGRESS_RETRY_AFTER_S = 0.5
 BODY_DROPPED_HEADER = "Tamarackhaven-Body-Dropped"
 _OWN_ANSWER_HEADERS = frozenset(
     name.lower()
@@ -55,7 +55,7 @@
         Cancels requests at the target that no caller waits for.
     clock : Clock
         Times requests and bookings.
-    note_key : callable
+    record_key : callable
         Called with the key hash of each request for a key of this target.
     silence : Silence
         Detects whether the target is hung.
@@ -72,7 +72,7 @@
         target,
         canceller,
         clock,
-        note_key,
+        record_key,
         silence,
     ):
         self._settings = settings
@@ -84,7 +84,7 @@
         self._target = target
         self._canceller = canceller
         self._clock = clock
-        self._note_key = note_key
+        self._record_key = record_key
         self._silence = silence
 
     def serve(self, request, located, gone):
@@ -97,7 +97,7 @@
             ``answer`` says whether the request ran.
         """
         self._verify(located)
-        self._note_key(request.key_hash)
+        self._record_key(request.key_hash)
         if located.mode is PolicyMode.SHARED:
             self._grants.enter_shared(located.grant, request.key_hash)
         else:
@@ -105,7 +105,7 @@
         try:
             if request.is_booking:
                 return self._run_booking(request, located, gone)
-            return self._run(request, located, gone)
+            return self._admit_and_send(request, located, gone)
         finally:
             self._grants.leave(located.grant, request.key_hash)
 
@@ -125,7 +125,7 @@
             return _replay(outcome.answer, request)
         end, kept = BookingEnd.UNKNOWN, None
         try:
-            answer = self._run(request, located, gone)
+            answer = self._admit_and_send(request, located, gone)
             end, kept = BookingEnd.ANSWERED, _to_booking_answer(answer)
             return answer
         except TamarackhavenError as error:
@@ -139,10 +139,10 @@
         if kind is ErrorKind.BOOKING_OWNER_CHANGED:
             return self._settings.bookings.caller_clock_margin_s
         if kind is ErrorKind.BOOKING_IN_PROGRESS:
-            return IN_PROGRESS_RETRY_S
+            return IN_PROGRESS_RETRY_AFTER_S
         return 0.0
 
-    def _run(self, request, located, gone):
+    def _admit_and_send(self, request, located, gone):
         admission, connections = self._target()
         decision_id = _admit(admission, request, gone)
         start_s = self._clock.boot_s()
@@ -194,7 +194,7 @@
             answered = True
             return answer
         except TamarackhavenError as error:
-            if error.kind is not ErrorKind.CALLER_GONE or not watch.hung:
+            if error.kind is not ErrorKind.CALLER_GONE or not watch.is_hung:
                 raise
             detail = "The target is hung."
             raise TamarackhavenError(ErrorKind.CANCELLED, detail) from error
@@ -235,12 +235,12 @@
     def __init__(self, silence, gone):
         self._silence = silence
         self._gone = gone
-        self.hung = False
+        self.is_hung = False
 
     def __call__(self):
         """Return whether the target is hung or the caller gone."""
-        self.hung = self._silence.hung
-        return self.hung or self._gone()
+        self.is_hung = self._silence.hung
+        return self.is_hung or self._gone()
 
 
 def _never():
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -7,7 +7,7 @@
 from tamarackhaven._verify import is_owner
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-NO_OWNER_RETRY_S = 0.5
+NO_OWNER_RETRY_AFTER_S = 0.5
 _POLL_INTERVAL_S = 0.01
 # After these another owner may answer; after all others only the same one could.
 _NEXT_OWNER_KINDS = RELOCATED_KINDS | {ErrorKind.FORWARD_LOST, ErrorKind.CANCELLED}
@@ -79,7 +79,7 @@
     def _try_once(self, request, located, gone):
         if located.owner is None:
             detail = f"Shard {located.grant.shard}."
-            raise TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_OWNER_RETRY_S)
+            raise TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_OWNER_RETRY_AFTER_S)
         if is_owner(located, self._standing()):
             return self.serve(request, located, gone)
         if located.owner.target == self._settings.target and (
@@ -103,7 +103,7 @@
         try:
             return self._forwarder.forward(request, located, watch)
         except TamarackhavenError as error:
-            if error.kind is not ErrorKind.CALLER_GONE or not watch.changed:
+            if error.kind is not ErrorKind.CALLER_GONE or not watch.has_new_owner:
                 raise
             detail = "The key has another owner."
             raise TamarackhavenError(ErrorKind.FORWARD_LOST, detail) from error
@@ -164,17 +164,17 @@
         self._request = request
         self._located = located
         self._gone = gone
-        self.changed = False
+        self.has_new_owner = False
 
     def __call__(self):
         """Return whether the caller is gone or the key has another owner."""
         if self._gone():
             return True
         newer = find_newer_grant(self._view, self._request, self._located)
-        self.changed = newer is not None and (
+        self.has_new_owner = newer is not None and (
             newer.grant.owner != self._located.grant.owner
         )
-        return self.changed
+        return self.has_new_owner
 
 
 def find_newer_grant(view, request, located):
--- a/tamarackhaven/_path.py
+++ b/tamarackhaven/_path.py
@@ -125,7 +125,7 @@
         if request.hops:
             raise TamarackhavenError(
                 ErrorKind.FORWARD_LOOP,
-                "A forwarded request came to the port for callers.",
+                "A forwarded request arrived at the port for callers.",
             )
         request, located = self._locate(request)
         if located.mode is PolicyMode.SHARED:
--- a/tamarackhaven/_peer_app.py
+++ b/tamarackhaven/_peer_app.py
@@ -11,14 +11,14 @@
 LEDGER_TARGET = "/ledger"
 
 
-def peer_app(path, take_ledger):
+def peer_app(path, accept_ledger_part):
     """Return the WSGI application.
 
     Parameters
     ----------
     path : RequestPath
         Answers forwarded requests.
-    take_ledger : callable
+    accept_ledger_part : callable
         Called with the bytes of a ledger part that the previous owner of a shard sends
         in a planned move; returns whether the part was accepted.
     """
@@ -26,7 +26,7 @@
     def app(environ, start_response):
         raw = raw_request(environ)
         if _is_ledger(raw):
-            return respond(_ledger_answer(raw, take_ledger), start_response)
+            return respond(_ledger_answer(raw, accept_ledger_part), start_response)
         answer = path.from_peer(raw, caller_gone_check(environ))
         return respond(answer, start_response)
 
@@ -42,9 +42,9 @@
     return raw.target == LEDGER_TARGET and raw.method == "POST" and not forwarded
 
 
-def _ledger_answer(raw, take_ledger):
+def _ledger_answer(raw, accept_ledger_part):
     try:
-        taken = take_ledger(raw.body)
+        taken = accept_ledger_part(raw.body)
     except TamarackhavenError as error:
         return answer_error(error)
     body = json.dumps({"taken": bool(taken)}).encode() + b"\n"
--- a/tamarackhaven/_retries.py
+++ b/tamarackhaven/_retries.py
@@ -105,7 +105,7 @@
 
 
 def least_certain_error(earlier, later):
-    """Return the one of two errors of a request that says less surely "did not run".
+    """Return the one of two errors that leaves more doubt whether the request ran.
 
     If the first try was lost on its way and the second was refused, the second error
     alone would tell the caller that the request did not run. If it is unknown for any
--- a/tamarackhaven/_send.py
+++ b/tamarackhaven/_send.py
@@ -57,7 +57,7 @@
     max_body_bytes: int
 
 
-class _TimedReader(io.RawIOBase):
+class _DeadlineReader(io.RawIOBase):
     """Reads from a socket until a deadline, or until the caller has disconnected.
 
     The socket's own timeout restarts with each byte, so a target that sends one byte a
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen
-class _TimedSocket:
+class _DeadlineSocket:
     """The part of a socket that ``HTTPResponse`` uses."""
 
     sock: socket.socket
@@ -95,7 +95,7 @@
 
     def makefile(self, mode):
         """Return a buffered reader that enforces the deadline."""
-        return io.BufferedReader(_TimedReader(self.sock, self.deadline_s, self.gone))
+        return io.BufferedReader(_DeadlineReader(self.sock, self.deadline_s, self.gone))
 
 
 class Connections:
@@ -255,7 +255,7 @@
 
 def _read_response(sock, outgoing, gone):
     response = http.client.HTTPResponse(
-        _TimedSocket(sock, outgoing.deadline_s, gone), method=outgoing.method
+        _DeadlineSocket(sock, outgoing.deadline_s, gone), method=outgoing.method
     )
     try:
         response.begin()
--- a/tamarackhaven/_shared_route.py
+++ b/tamarackhaven/_shared_route.py
@@ -12,7 +12,7 @@
 from tamarackhaven._shared_pool import SharedPool
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-NO_TARGET_RETRY_S = 0.5
+NO_TARGET_RETRY_AFTER_S = 0.5
 _HEDGE_SETTINGS = HedgeSettings()
 
 
@@ -100,10 +100,10 @@
     def _no_target_error(self, service):
         if self._view.takers(service):
             return TamarackhavenError(
-                ErrorKind.CONNECTIONS_FULL, "All targets are at their limit."
+                ErrorKind.CONNECTIONS_FULL, "All targets are at their connection limit."
             )
         detail = "No target of this shared service accepts requests."
-        return TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_TARGET_RETRY_S)
+        return TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_TARGET_RETRY_AFTER_S)
 
     def _try_hedged(self, request, located, first, tried, gone):
         """Return the first answer of a try and, if that is slow, of its hedge."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -71,7 +71,7 @@
 
 
 class LoadBlindChooser:
-    """Chooses round robin or at random, without regard to latency."""
+    """Chooses round robin or at random, without regard to load or latency."""
 
     def __init__(self, at_random):
         self.names = itertools.cycle(c.target for c in TARGETS)
@@ -160,7 +160,7 @@
     assert record(ejector, "t1", 0.0, ok=False)
     assert not record(ejector, "t2", 0.0, ok=False)
     assert ejector.ejected(1.9) == {"t1"}
-    assert ejector.capped
+    assert ejector.suppressed_ejections
     assert ejector.ejected(2.1) == set()
     assert record(ejector, "t1", 3.0, ok=False)
     assert ejector.ejected(6.9) == {"t1"}
