--- a/tests/test_lease_promises.py
+++ b/tests/test_lease_promises.py
@@ -1,4 +1,4 @@
-"""Tests of what a control VM refuses, and of what a holder counts as confirmed."""
+"""Tests of a control VM's refusals and of a lease holder's confirmed state."""
 
 import attrs
 import pytest
@@ -12,7 +12,7 @@
 SETTINGS = LeaseSettings(lease_ms=500, renew_ms=100, drift=0.0)
 RENEWAL = Renewal(5, 2, 1)
 VIEW = LeaseView(2, 9, target=("s", "t"))
-HELD = ("s", "held")
+PROMISED_TARGET = ("s", "held")
 
 
 @pytest.mark.parametrize(
@@ -24,22 +24,27 @@
         (Reason.FENCED, {"epoch": 3}, {}, 0),
         (Reason.FENCED, {}, {"retired": True}, 0),
         (Reason.STALE_EPOCH, {"epoch": 4}, {"target": None}, 0),
-        (Reason.NAME_CLAIMED, {"epoch": 9}, {"target": HELD}, 250),
+        (Reason.NAME_CLAIMED, {"epoch": 9}, {"target": PROMISED_TARGET}, 250),
         (Reason.ZONE_OUT, {}, {"zone_out": True}, 0),
         (Reason.STALE_MEMBERSHIP, {"membership_version": 1}, {}, 0),
         (Reason.NOT_VOTER, {}, {"voter": False}, 0),
     ],
 )
-def test_reason_of_an_answer(reason, renewal, view, remaining_ms):
+def test_renewal_is_answered_with_its_reason_and_retry_time(
+    reason, renewal, view, remaining_ms
+):
     promises = LeasePromises(SETTINGS, -9.0, {("s", "t"): 3})
-    promises.renewal(RENEWAL, 0.0, attrs.evolve(VIEW, target=HELD))
-    asked, seen = attrs.evolve(RENEWAL, **renewal), attrs.evolve(VIEW, **view)
-    ack = promises.renewal(asked, 0.25, seen)
+    promises.renewal(RENEWAL, 0.0, attrs.evolve(VIEW, target=PROMISED_TARGET))
+    changed_renewal, changed_view = (
+        attrs.evolve(RENEWAL, **renewal),
+        attrs.evolve(VIEW, **view),
+    )
+    ack = promises.renewal(changed_renewal, 0.25, changed_view)
     assert (ack.reason, ack.remaining_ms) == (reason, remaining_ms)
 
 
-def test_restarted_or_new_voter_waits_a_promise_time():
-    """It neither grants nor fences what it may have promised to someone else."""
+def test_restarted_or_new_voter_neither_grants_nor_fences_for_a_promise_time():
+    """It may have made promises of which it has no record."""
     promises = LeasePromises(SETTINGS, 0.0, {("s", "t"): 3})
     assert promises.renewal(RENEWAL, 0.25, VIEW).reason is Reason.NOT_READY
     assert promises.fence("s", "t", 5, 0.25) == Fenced(False, 250)
@@ -51,10 +56,11 @@
     assert promises.ready_for_membership_change(0.5)
 
 
-def test_older_promise_delays_a_fence_but_is_no_silence_of_a_new_epoch():
-    """A target joins again right after its loss, and its old promise has run out.
+def test_older_promise_delays_a_fence_but_does_not_end_a_new_epoch():
+    """A target rejoins right after it was lost, when its old promise has expired.
 
-    Taken for the new epoch's, the leader would retire that before its first renewal.
+    If that promise counted for the new epoch, the leader would retire the new epoch
+    before its first renewal.
     """
     promises = LeasePromises(SETTINGS, -9.0)
     promises.renewal(RENEWAL, 0.0, VIEW)
@@ -64,8 +70,8 @@
     assert promises.fence("s", "t", 6, 0.5) == Fenced(True)
 
 
-def test_state_is_confirmed_by_a_majority_though_changes_never_pause():
-    """The map is always a version behind, yet each version is confirmed in turn."""
+def test_state_is_confirmed_by_a_majority_during_constant_changes():
+    """The map is always one version behind, yet each version is confirmed."""
     members = tuple(Member(name, "h", 1, 1) for name in "abc")
     holder = LeaseHolder(SETTINGS, Membership(members))
     assert holder.lost(0.0) is LeaseLoss.NO_GRANT
