--- a/tamarackhaven/_lease_client.py
+++ b/tamarackhaven/_lease_client.py
@@ -20,26 +20,26 @@
 
 _log = logging.getLogger(__name__)
 
-_MIN_WAIT_S = 0.001
+_MIN_RECEIVE_TIMEOUT_S = 0.001
 _MIN_RETRY_S = 0.02
-_WAKE = b""
+_WAKE_DATAGRAM = b""
 
 
 class LeaseClient:
-    """Renews one lease with one thread; every method is thread-safe.
+    """Renews one lease on one thread; every method is thread-safe.
 
     Parameters
     ----------
     settings : LeaseSettings
         Timings.
     membership : Membership
-        The control VMs, as the daemon's map has them.
+        The control VMs in the daemon's map.
     on_version : callable
-        ``on_version(version)``: a control VM has a newer state than any told of
-        before. Called on the lease's thread, so it must only wake another one.
+        ``on_version(version)`` is called when a control VM reports a newer state than
+        any before. It runs on the lease's thread, so it must only wake another one.
     on_must_rejoin : callable
-        ``on_must_rejoin(reason)``: this epoch is refused for ever; once per epoch, on
-        the same thread.
+        ``on_must_rejoin(reason)`` is called once per epoch, on the same thread, when
+        the epoch is refused permanently.
     clock : callable
         Seconds of a clock that counts suspension.
     """
@@ -60,11 +60,11 @@
         seq = random.getrandbits(32)
         self._holder = LeaseHolder(settings, membership, seq)
         self._address_by_voter = _addresses(membership)
-        self._renew_at = clock()
-        self._told_version = 0
-        self._told_epoch = 0
+        self._renew_at_s = clock()
+        self._notified_version = 0
+        self._notified_epoch = 0
         self._stopping = threading.Event()
-        self._held = False
+        self._was_held = False
         self.losses_by_reason = dict.fromkeys(LeaseLoss, 0)
         self.unsent = 0
         self.dropped = 0
@@ -76,29 +76,29 @@
         """Renew this epoch from now on."""
         with self._lock:
             self._holder.set_grant(epoch)
-            self._renew_at = self._clock()
+            self._renew_at_s = self._clock()
         self._wake()
 
     def set_membership(self, membership):
-        """Renew with these control VMs; only with all state up to its version."""
+        """Renew with these control VMs; requires all state up to its version."""
         with self._lock:
             self._holder.set_membership(membership)
             self._address_by_voter = _addresses(self._holder.membership)
-            self._renew_at = self._clock()
+            self._renew_at_s = self._clock()
         self._wake()
 
     def set_state_version(self, version):
-        """The daemon has applied the map up to ``version``."""
+        """Record that the daemon has applied the map up to ``version``."""
         with self._lock:
             self._holder.set_state_version(version)
 
     def holds(self):
-        """Return whether the lease holds at this moment."""
+        """Return whether the lease holds now."""
         with self._lock:
             return self._holder.holds(self._clock())
 
     def held_until(self):
-        """Return the lease's end in seconds of the clock, ``-inf`` if never held."""
+        """Return the lease's end in seconds of the clock; ``-inf`` if never held."""
         with self._lock:
             return self._holder.held_until
 
@@ -108,37 +108,37 @@
             return self._holder.lost(self._clock())
 
     def epoch(self):
-        """Return the epoch that is renewed, 0 if none."""
+        """Return the epoch that is being renewed, 0 if none."""
         with self._lock:
             return self._holder.epoch
 
     def confirmed_at(self):
-        """Return when a majority last had no newer state than the daemon's map."""
+        """Return when a majority last had no newer state than the map, in seconds."""
         with self._lock:
             return self._holder.confirmed_at
 
     def newest_version(self):
-        """Return the newest version of the state that any control VM told of."""
-        return self._told_version
+        """Return the newest state version that any control VM has reported."""
+        return self._notified_version
 
     def set_draining(self, draining):
-        """Say in renewals whether this daemon only finishes what is in flight."""
+        """Set whether renewals mark this daemon as only finishing work in flight."""
         with self._lock:
             self._holder.draining = draining
 
     def needs_epoch(self):
-        """Return whether there is no epoch that could still be renewed."""
+        """Return whether the daemon has no epoch that can still be renewed."""
         with self._lock:
             holder = self._holder
             return not holder.epoch or holder.released or bool(holder.must_rejoin)
 
     def release(self):
-        """Give the lease up at once."""
+        """Release the lease immediately."""
         with self._lock:
             self._holder.release()
 
     def stop(self):
-        """Give the lease up, stop the thread and close the socket."""
+        """Release the lease, stop the thread and close the socket."""
         self.release()
         self._stopping.set()
         self._wake()
@@ -146,9 +146,9 @@
         self._socket.close()
 
     def _wake(self):
-        """End the thread's wait, so that a new grant needn't wait for a round."""
+        """Wake the thread, so that a new grant needn't wait for the next round."""
         try:
-            self._socket.sendto(_WAKE, self._socket.getsockname())
+            self._socket.sendto(_WAKE_DATAGRAM, self._socket.getsockname())
         except OSError:
             self.unsent += 1
 
@@ -158,14 +158,14 @@
                 self._renew_if_due()
                 self._receive()
             except Exception:
-                _log.exception("lease round failed")
+                _log.exception("lease renewal round failed")
 
     def _renew_if_due(self):
         with self._lock:
             now = self._clock()
-            if now < self._renew_at:
+            if now < self._renew_at_s:
                 return
-            self._renew_at = now + self._renew_s
+            self._renew_at_s = now + self._renew_s
             self._count_loss(now)
             renewals = self._holder.renew(now)
             address_by_voter = self._address_by_voter
@@ -174,18 +174,18 @@
 
     def _count_loss(self, now):
         held = self._holder.holds(now)
-        if self._held and not held:
+        if self._was_held and not held:
             self.losses_by_reason[self._holder.lost(now)] += 1
-        self._held = held
+        self._was_held = held
 
     def _send(self, data, address):
         try:
             self._socket.sendto(data, address)
         except OSError:
-            self.unsent += 1  # as good as lost on the way; the next round tries again
+            self.unsent += 1  # like a lost datagram; the next round retries
 
     def _receive(self):
-        wait_s = max(_MIN_WAIT_S, self._renew_at - self._clock())
+        wait_s = max(_MIN_RECEIVE_TIMEOUT_S, self._renew_at_s - self._clock())
         self._socket.settimeout(wait_s)
         try:
             data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
@@ -194,14 +194,14 @@
         except OSError:
             self.dropped += 1
             return
-        if data != _WAKE:
+        if data != _WAKE_DATAGRAM:
             self._received(decode(data))
 
     def _received(self, message):
         if isinstance(message, Ack):
             self._acked(message)
         elif isinstance(message, Hint):
-            self._tell_version(message.state_version)
+            self._notify_version(message.state_version)
         else:
             self.dropped += 1
 
@@ -210,20 +210,20 @@
             now = self._clock()
             self._holder.acked(ack, now)
             if ack.reason is Reason.NOT_READY and not self._holder.holds(now):
-                # A control VM has not applied the epoch yet, or has just started:
-                # a whole round later would keep a new target idle for nothing.
-                again_at = now + max(_MIN_RETRY_S, ack.remaining_ms / 1000)
-                self._renew_at = min(self._renew_at, again_at)
-            seen = self._holder.seen_state_version
+                # A control VM hasn't applied the epoch yet, or has just started.
+                # Waiting a whole round would leave a new target idle without need.
+                retry_at_s = now + max(_MIN_RETRY_S, ack.remaining_ms / 1000)
+                self._renew_at_s = min(self._renew_at_s, retry_at_s)
+            seen_version = self._holder.seen_state_version
             epoch, reason = self._holder.epoch, self._holder.must_rejoin
-        self._tell_version(seen)
-        if reason is not None and epoch != self._told_epoch:
-            self._told_epoch = epoch
+        self._notify_version(seen_version)
+        if reason is not None and epoch != self._notified_epoch:
+            self._notified_epoch = epoch
             self._on_must_rejoin(reason)
 
-    def _tell_version(self, version):
-        if version > self._told_version:
-            self._told_version = version
+    def _notify_version(self, version):
+        if version > self._notified_version:
+            self._notified_version = version
             self._on_version(version)
 
 
--- a/tamarackhaven/_lease_server.py
+++ b/tamarackhaven/_lease_server.py
@@ -19,31 +19,31 @@
 
 _log = logging.getLogger(__name__)
 
-# The receive buffer holds a burst of renewals while another thread has the
-# interpreter; 1,500 daemons' renewals of 21 bytes need some 1 MB of it with
-# the kernel's overhead. The kernel caps it at its own limit.
+# The receive buffer holds a burst of renewals while another thread holds the
+# interpreter lock. Renewals of 21 bytes from 1,500 daemons take some 1 MB of it with
+# the kernel's overhead. The kernel caps the size at its own limit.
 _RECEIVE_BUFFER_BYTES = 1 << 20
 _STOP_POLL_S = 0.2
 _MAX_ADDRESSES = 8192
 
 
 class LeaseServer:
-    """Answers renewals with one thread; knows whom to send hints.
+    """Answers renewals on one thread, and sends hints to recently seen daemons.
 
-    The lock is held around ``LeasePromises`` only, never around a disk write: a sync
-    that takes a lease time would otherwise end every lease.
+    The lock is held around ``LeasePromises`` only, never around a disk write: otherwise
+    a sync that takes as long as a lease would make every lease expire.
 
     Parameters
     ----------
     listen : Listen
-        Where to receive; port 0 takes any.
+        Address and port to bind; port 0 binds any free port.
     settings : LeaseSettings
         Timings.
     promises : LeasePromises
-        This control VM's promises, from now on used through this object only.
+        This control VM's promises; from now on accessed only through this object.
     view_of : callable
-        ``view_of(epoch)`` returns the ``LeaseView`` of this moment. Called
-        on the socket's thread; must not wait for a disk.
+        ``view_of(epoch)`` returns the current ``LeaseView``. Called on the socket's
+        thread; must not wait for a disk.
     persist : callable
         ``persist(service, target, epoch)`` returns once the fence is synced.
     clock : callable
@@ -62,7 +62,7 @@
         self._persist = persist
         self._clock = clock
         self._lock = threading.Lock()
-        self._heard_by_address = {}
+        self._renewed_at_by_address = {}
         self._stopping = threading.Event()
         self.dropped = 0
         self.answers_by_reason = dict.fromkeys(Reason, 0)
@@ -83,7 +83,7 @@
             except TimeoutError:
                 continue
             except OSError:
-                self.dropped += 1  # such as an ICMP error for an earlier answer
+                self.dropped += 1  # e.g. an ICMP error for an earlier answer
             except Exception:
                 self.dropped += 1
                 _log.exception("lease renewal failed")
@@ -97,18 +97,21 @@
         with self._lock:
             now = self._clock()
             ack = self._promises.renewal(renewal, now, view)
-            self._note_address(address, now)
+            self._record_address(address, now)
             self.answers_by_reason[ack.reason] += 1
         self._socket.sendto(encode(ack), address)
 
-    def _note_address(self, address, now):
-        """Remember whom to send hints; a flood of strangers must not fill memory."""
-        known = self._heard_by_address
+    def _record_address(self, address, now):
+        """Record an address for hints, bounded so that no flood can exhaust memory."""
+        known = self._renewed_at_by_address
         if address in known or len(known) < _MAX_ADDRESSES:
             known[address] = now
 
     def hint(self, version):
-        """Tell every daemon that renewed within a lease: the state is ``version``."""
+        """Send ``version`` of the state to all daemons that renewed recently.
+
+        Recently means within the last promise time.
+        """
         data = encode(Hint(version))
         for address in self._recent_addresses():
             try:
@@ -118,13 +121,13 @@
 
     def _recent_addresses(self):
         with self._lock:
-            oldest = self._clock() - self._promise_s
-            self._heard_by_address = {
-                address: heard
-                for address, heard in self._heard_by_address.items()
-                if heard >= oldest
+            oldest_s = self._clock() - self._promise_s
+            self._renewed_at_by_address = {
+                address: renewed_at
+                for address, renewed_at in self._renewed_at_by_address.items()
+                if renewed_at >= oldest_s
             }
-            return list(self._heard_by_address)
+            return list(self._renewed_at_by_address)
 
     def fence(self, service, target, epoch):
         """Fence an epoch durably; return ``Fenced`` only after the sync."""
@@ -140,12 +143,12 @@
             return self._promises.promise_end(service, target, epoch)
 
     def joined(self):
-        """Count every target as promised, as a new voter must."""
+        """Treat every target as promised for a promise time, as a new voter must."""
         with self._lock:
             self._promises.joined(self._clock())
 
     def membership_changed(self):
-        """A membership was committed, or this member became the leader."""
+        """Record that a membership was committed or this member became the leader."""
         with self._lock:
             self._promises.membership_changed(self._clock())
 
--- a/tests/test_lease_client.py
+++ b/tests/test_lease_client.py
@@ -1,4 +1,4 @@
-"""Tests of the lease's UDP client and server on loopback."""
+"""Tests of the lease's UDP client and server on the loopback interface."""
 
 import socket
 import threading
@@ -16,19 +16,19 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 SETTINGS = LeaseSettings(lease_ms=1500, renew_ms=50)
-WAIT_S = 20
-LONG_AGO = -1e9
+WAIT_TIMEOUT_S = 20
+BOOT_LONG_AGO_S = -1e9
 
 
 def wait_for(condition):
-    end = time.monotonic() + WAIT_S
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while not condition():
         assert time.monotonic() < end
         time.sleep(0.005)
 
 
 def start_server(name, persisted):
-    promises = LeasePromises(SETTINGS, LONG_AGO)
+    promises = LeasePromises(SETTINGS, BOOT_LONG_AGO_S)
     return LeaseServer(
         Listen("127.0.0.1", 0),
         SETTINGS,
@@ -38,13 +38,13 @@
     )
 
 
-def test_lease_is_held_through_loss_of_one_then_fenced():
-    """A daemon that lost one control VM goes on; without a majority it stops.
+def test_lease_survives_loss_of_one_control_vm_and_expires_without_a_majority():
+    """A lease must outlast the loss of one control VM, but not of a majority.
 
-    Three control VMs acknowledge; one stops and the lease stays. A second one stops
-    and the lease ends. The last one fences only then, and the daemon hears of it.
+    Three control VMs acknowledge. When one stops, the lease is still renewed; when a
+    second one stops, it expires. The last one fences the epoch only after that.
     """
-    persisted, versions, reasons, told = [], [], [], threading.Event()
+    persisted, versions, reasons, notified = [], [], [], threading.Event()
     servers = [start_server(name, persisted) for name in "abc"]
     members = tuple(
         Member(name, "127.0.0.1", 1, server.port)
@@ -53,7 +53,7 @@
 
     def must_rejoin(reason):
         reasons.append(reason)
-        told.set()
+        notified.set()
 
     client = LeaseClient(SETTINGS, Membership(members), versions.append, must_rejoin)
     try:
@@ -84,7 +84,7 @@
     assert not reasons
 
 
-def test_fenced_daemon_is_told_once():
+def test_fenced_daemon_is_notified_once_per_epoch():
     server = start_server("a", [])
     assert server.fence("s", "t", 3).ok
     members = (Member("a", "127.0.0.1", 1, server.port),)
@@ -103,7 +103,7 @@
         server.stop()
 
 
-def test_taken_port_is_an_error_with_a_code():
+def test_port_in_use_raises_port_taken():
     server = start_server("a", [])
     try:
         with pytest.raises(TamarackhavenError) as caught:
@@ -115,18 +115,18 @@
         server.stop()
 
 
-def test_epoch_that_is_not_applied_yet_is_asked_for_again_soon():
-    """A target joins, and its first renewal is faster than the news of its epoch.
+def test_renewal_of_an_epoch_not_yet_applied_is_retried_soon():
+    """A target joins, and its first renewal arrives before its epoch is applied.
 
-    The control VM refuses an epoch beyond its state. A whole round later the target
-    would have waited for 2 s in place of some 20 ms.
+    The control VM refuses an epoch beyond its state. If the target retried only in the
+    next round, it would wait for 2 s instead of some 20 ms.
     """
     settings = LeaseSettings(lease_ms=6000, renew_ms=2000)
     views = [LeaseView(0, 2), LeaseView(0, 3, target=("s", "t"))]
     server = LeaseServer(
         Listen("127.0.0.1", 0),
         settings,
-        LeasePromises(settings, LONG_AGO),
+        LeasePromises(settings, BOOT_LONG_AGO_S),
         lambda epoch: views.pop(0) if len(views) > 1 else views[0],
         lambda *fence: None,
     )
@@ -136,9 +136,9 @@
     )
     try:
         client.set_grant(3)
-        begun = time.monotonic()
+        started = time.monotonic()
         wait_for(client.holds)
-        assert time.monotonic() - begun < 1.5
+        assert time.monotonic() - started < 1.5
         assert server.answers_by_reason[Reason.NOT_READY] == 1
     finally:
         client.stop()
