--- a/tests/lease_scenarios.py
+++ b/tests/lease_scenarios.py
@@ -1,4 +1,4 @@
-"""One fault each in a region at rest: what it costs in time without an owner.
+"""Measures how long a shard is without an owner after one fault in a healthy region.
 
 ``PYTHONPATH=. python tests/lease_scenarios.py`` prints the table of
 docs/design/lease-transport.md.
@@ -17,7 +17,10 @@
 
 @attrs.frozen
 class Scenario:
-    """A fault, and the longest time that a shard may be without an owner."""
+    """A fault and the longest time that a shard may then be without an owner.
+
+    ``bound_s`` and ``lasts_s``, the simulated time after the fault, are in seconds.
+    """
 
     fault: object
     bound_s: float
@@ -27,17 +30,19 @@
 
 @attrs.frozen
 class Outcome:
-    """Longest time of a shard without an owner, and how many daemons joined anew."""
+    """Longest time of a shard without an owner, and how many daemons rejoined."""
 
     longest_s: float
     rejoined: int
 
 
-def calm(seed, parts=None, settings=None, targets="ab"):
-    """Return a region at rest, the owner of shard 0 and the three control VMs."""
+def fault_free_region(seed, parts=None, settings=None, targets="ab"):
+    """Return a fault-free region, the owner of shard 0 and the three control VMs."""
     sim = Simulation(random.Random(seed), 3, targets, parts, settings)
-    sim.drop = sim.duplicate = sim.slow = sim.racing = 0.0
-    sim.trace, sim.hints = [], True
+    sim.drop_probability = sim.duplicate_probability = sim.delay_probability = (
+        sim.race_probability
+    ) = 0.0
+    sim.trace, sim.has_hints = [], True
     for node in (*sim.controls.values(), *sim.daemons.values()):
         node.rate = 1 + (-sim.settings.drift if node.target else sim.settings.drift)
     sim.run(2.0)
@@ -45,9 +50,11 @@
     return sim, owner, *(sim.controls[name] for name in ("c0", "c1", "c2"))
 
 
-def unowned(scenario, seed):
-    """Run a scenario at the default timings; two owners at one instant are an error."""
-    sim, *_ = calm(seed, settings=LeaseSettings(), targets=scenario.targets)
+def run_scenario(scenario, seed):
+    """Run a scenario at the default timings and check that no shard has two owners."""
+    sim, *_ = fault_free_region(
+        seed, settings=LeaseSettings(), targets=scenario.targets
+    )
     sim.run(2.0 + sim.rng.random())
     daemons = sim.daemons.values()
     before = {node.name: node.holder.epoch for node in daemons}
@@ -67,7 +74,7 @@
 
 
 def any_voter(sim):
-    """Return one of the voters, the leader as often as another."""
+    """Return a random voter; the leader is as likely as any other."""
     return sim.controls[sim.rng.choice(sim.region.membership.voters)]
 
 
@@ -84,9 +91,9 @@
 
 
 def control_silently_cut_off(sim):
-    """No datagram and no log in either direction for 10 s, then back."""
+    """Datagrams and log updates are lost in both directions for 10 s."""
     control = any_voter(sim)
-    sim.for_a_while(control, "cut_off", 10.0)
+    sim.set_for(control, "cut_off", 10.0)
     for daemon in sim.daemons.values():
         sim.cut(daemon, control, 10.0)
         sim.cut(control, daemon, 10.0)
@@ -101,12 +108,12 @@
 
 
 def datagrams_twice_late_and_out_of_order(sim):
-    """Half come twice, and one in ten up to 0.35 s late, so after younger ones."""
-    sim.duplicate, sim.slow = 0.5, 0.1
+    """Half are duplicated, and one in ten is up to 0.35 s late, so out of order."""
+    sim.duplicate_probability, sim.delay_probability = 0.5, 0.1
 
 
 def drift_at_its_limit(sim):
-    """The other way than in the region at rest: daemons fast, control VMs slow."""
+    """The drift of all clocks is reversed: daemons are fast, control VMs slow."""
     for node in (*sim.controls.values(), *sim.daemons.values()):
         rate = 2 - node.rate
         node.offset += sim.now * (node.rate - rate)
@@ -114,7 +121,7 @@
 
 
 def owner_frozen(sim):
-    """Frozen for longer than its lease, it wakes when others own its shards."""
+    """The owner is frozen for longer than its lease, until others own its shards."""
     sim.freeze(owner(sim), 1.2)
 
 
@@ -123,26 +130,27 @@
 
 
 def owner_restarted(sim):
-    """The new process claims the name that its predecessor's promises still hold."""
+    """The new process claims its name while promises to the previous one still run."""
     sim.kill(owner(sim), 0.05)
 
 
 def claimed_name_restarted(sim):
-    """Two processes claim one name; the one that has it restarts."""
+    """Two processes claim one name; the one that holds it restarts."""
     sim.kill(sim.daemons[sim.recorder.owner_by_item["b"]], 0.05)
 
 
 def owner_cut_off_from_all(sim):
-    """Its renewals arrive nowhere."""
+    """The owner's renewals reach no control VM."""
     for control in sim.controls.values():
         sim.cut(owner(sim), control, 9.0)
 
 
 def answers_to_owner_lost(sim):
-    """Its renewals arrive, so promises go on, but no answer reaches it for 3 s.
+    """The owner's renewals arrive and are promised, but no answer arrives for 3 s.
 
-    Nobody else may own its shards while a majority promises them to it, so they are
-    without an owner until answers arrive again. Not mended: the bound is the cut.
+    No other target may own its shards while a majority promises them to it, so they
+    have no owner until answers arrive again. This isn't fixed: the bound equals the
+    duration of the cut.
     """
     for control in sim.controls.values():
         sim.cut(control, owner(sim), 3.0)
@@ -154,7 +162,7 @@
 
 
 def owner_and_second_vm_lost_after_repair(sim):
-    """One VM is lost and replaced; another and an owner go as soon as that is done."""
+    """A VM is lost and replaced; then another VM and an owner are lost at once."""
     sim.kill(sim.controls["c2"], 60.0)
     sim.run(sim.now + 1.0)
     sim.change_membership(lambda names: names[0])
@@ -186,9 +194,9 @@
 
 
 def main():
-    """Print a row for each scenario."""
+    """Print a table row for each scenario; times are in seconds."""
     for scenario in SCENARIOS:
-        runs = [unowned(scenario, seed) for seed in TABLE_SEEDS]
+        runs = [run_scenario(scenario, seed) for seed in TABLE_SEEDS]
         times = [run.longest_s for run in runs]
         name = scenario.fault.__name__.replace("_", " ")
         lost = sum(run.rejoined > 0 for run in runs)
--- a/tests/lease_simulation.py
+++ b/tests/lease_simulation.py
@@ -1,8 +1,8 @@
-"""A region of control VMs and daemons on a fake clock, for the proofs on leases.
+"""Simulates a region of control VMs and daemons on a fake clock, for tests of leases.
 
-Consensus is replaced by one list, the log; everything about leases and fences is the
-real code. ``Recorder`` looks at who believes to own what after every event: between
-two events a hold can only end, so it sees every instant.
+Consensus is replaced by a list, the log; leases and fences use the real code.
+``Recorder`` checks after every event which daemons believe that they own what. Between
+two events a lease can only end, so these checks cover every instant.
 """
 
 import heapq
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Parts:
-    """The code under test; a mutant replaces one part by a weakened one."""
+    """The code under test; a mutant replaces one part by one without a safeguard."""
 
     holder: type = LeaseHolder
     promises: type = LeasePromises
@@ -34,7 +34,7 @@
 
 @attrs.define
 class Region:
-    """What the log says up to some index."""
+    """The state that the log describes up to an index."""
 
     membership: Membership
     index: int = 0
@@ -62,19 +62,19 @@
 
 @attrs.define(eq=False)
 class Node:
-    """A VM with its clock; ``life`` rises with each restart of its process."""
+    """A VM with its clock; ``life`` is incremented whenever its process ends."""
 
     name: str
     rate: float
     offset: float
     region: Region
-    alive: bool = True
+    is_running: bool = True
     frozen_at: float | None = None
-    frozen_for: float = 0.0
+    frozen_for_s: float = 0.0
     backlog: list = attrs.field(factory=list)
     life: int = 0
-    cut_off: bool = False  # from the log, not from datagrams
-    lags: bool = False  # has the log, does not apply it
+    cut_off: bool = False  # receives datagrams, but no log updates
+    lags: bool = False  # receives log updates, but doesn't apply them
     log_seen: int = 0
     membership_seen: Membership | None = None
     fences: dict = attrs.field(factory=dict)
@@ -85,13 +85,14 @@
 
     @property
     def up(self):
-        return self.alive and self.frozen_at is None and not self.cut_off
+        return self.is_running and self.frozen_at is None and not self.cut_off
 
 
 class Recorder:
-    """Finds two owners at one instant, and measures time without an owner.
+    """Detects two owners at the same time, and measures time without an owner.
 
-    A frozen owner counts for the first and not for the second: it serves nobody.
+    A frozen owner counts as an owner for the detection, but not for the measurement,
+    because it serves no requests.
     """
 
     def __init__(self):
@@ -99,15 +100,15 @@
         self.ownerless_s = dict.fromkeys(SHARDS, 0.0)
         self.owner_by_item = {}
         self._served = set()
-        self._looked_at = 0.0
+        self._recorded_at_s = 0.0
 
-    def look(self, now, beliefs, frozen):
+    def record(self, now, items_by_daemon, frozen):
         for shard in SHARDS:
             if shard not in self._served:
-                self.ownerless_s[shard] += now - self._looked_at
-        self._looked_at = now
+                self.ownerless_s[shard] += now - self._recorded_at_s
+        self._recorded_at_s = now
         self.owner_by_item = {}
-        for name, items in beliefs:
+        for name, items in items_by_daemon:
             for item in items:
                 other = self.owner_by_item.setdefault(item, name)
                 if other != name:
@@ -117,15 +118,19 @@
 
 
 class Simulation:
-    """``count`` voters, two spares and a daemon for each name in ``targets``."""
+    """Simulates ``count`` voters, two spare VMs and a daemon per target name."""
 
     def __init__(self, rng, count=3, targets="abcb", parts=None, settings=None):
         self.rng, self.parts = rng, parts or Parts()
         self.settings = settings or LeaseSettings(400, 100, 0.1)
         self.now, self._events, self._order = 0.0, [], itertools.count()
-        self.drop, self.duplicate, self.slow = 0.03, 0.03, 0.05
-        self.racing = 0.1
-        self.cuts, self.trace, self.hints = set(), None, False
+        self.drop_probability, self.duplicate_probability, self.delay_probability = (
+            0.03,
+            0.03,
+            0.05,
+        )
+        self.race_probability = 0.1
+        self.cut_links, self.trace, self.has_hints = set(), None, False
         self.recorder = Recorder()
         names = [f"c{n}" for n in range(count + 2)]
         voters = tuple(Member(n, "h", 1, 1) for n in names[:count])
@@ -154,7 +159,7 @@
         now = self.now
         if not self.parts.clock_counts_freezes:
             now = (node.frozen_at if node.frozen_at is not None else now) - (
-                node.frozen_for
+                node.frozen_for_s
             )
         return node.offset + node.rate * now
 
@@ -173,29 +178,29 @@
     def run(self, until):
         while self._events and self._events[0][0] < until:
             self.now, _, action, node, life = heapq.heappop(self._events)
-            self._carry_out(action, node, life)
+            self._run_event(action, node, life)
         self.now = until
-        self._look()
+        self._record_ownership()
 
-    def _carry_out(self, action, node, life):
-        if node is not None and (not node.alive or node.life != life):
+    def _run_event(self, action, node, life):
+        if node is not None and (not node.is_running or node.life != life):
             return
-        self._look()  # holds may have ended since the last event
+        self._record_ownership()  # leases may have ended since the last event
         if node is not None and node.frozen_at is not None:
             node.backlog.append((action, life))
             return
         action()
-        self._look()
+        self._record_ownership()
 
-    def _look(self):
+    def _record_ownership(self):
         daemons = self.daemons.values()
         frozen = {node.name for node in daemons if node.frozen_at is not None}
-        self.recorder.look(
+        self.recorder.record(
             self.now, [(node.name, self.owned(node)) for node in daemons], frozen
         )
 
     def owned(self, node):
-        if not node.alive or not node.holder.holds(self.clock(node)):
+        if not node.is_running or not node.holder.holds(self.clock(node)):
             return []
         epochs = node.region.epoch_by_shard
         shards = [s for s in epochs if epochs[s] == node.holder.epoch]
@@ -205,16 +210,17 @@
 
     def send(self, source, to, message, receive):
         data = encode(message)
-        copies = 2 if self.rng.random() < self.duplicate else 1
+        copies = 2 if self.rng.random() < self.duplicate_probability else 1
         for _ in range(copies):
-            if self.rng.random() >= self.drop and (source.name, to.name) not in (
-                self.cuts
-            ):
+            if self.rng.random() >= self.drop_probability and (
+                source.name,
+                to.name,
+            ) not in (self.cut_links):
                 self._note(f"{source.name} > {to.name}", message)
                 self.after(self._delay(), lambda: receive(decode(data)), to)
 
     def _delay(self):
-        if self.rng.random() < self.slow:
+        if self.rng.random() < self.delay_probability:
             return self.rng.uniform(0.0, 0.35)
         return self.rng.uniform(0.0005, 0.004)
 
@@ -271,11 +277,11 @@
         return [name for name in voters if self.controls[name].up]
 
     def has_leader(self):
-        enough = len(self.usable()) >= self.region.membership.quorum
-        return enough and self.leader in self.usable()
+        has_quorum = len(self.usable()) >= self.region.membership.quorum
+        return has_quorum and self.leader in self.usable()
 
     def commit(self, *entry):
-        """Append to the log at a random majority, if there is a leader."""
+        """Append an entry to the logs of a random majority, if there is a leader."""
         if not self.has_leader():
             return 0
         self.log.append(entry)
@@ -285,7 +291,7 @@
         for name in [self.leader, *others[: self.region.membership.quorum - 1]]:
             self._append(self.controls[name])
         self._note("log", (len(self.log), *entry))
-        for node in self.daemons.values() if self.hints else ():
+        for node in self.daemons.values() if self.has_hints else ():
             self.after(self._delay(), lambda n=node: self._fetch(n, 1.0), node)
         return len(self.log)
 
@@ -313,8 +319,8 @@
             self.leader = None
             self._no_leader_until = self.now + self.rng.uniform(0.3, 0.6)
         usable = self.usable()
-        enough = len(usable) >= self.region.membership.quorum
-        if enough and self.now >= self._no_leader_until:
+        has_quorum = len(usable) >= self.region.membership.quorum
+        if has_quorum and self.now >= self._no_leader_until:
             whole = len(self.log)
             usable.sort(key=lambda name: self.controls[name].log_seen != whole)
             self.leader = usable[0]
@@ -355,9 +361,9 @@
                 self.commit("grant", shard, self.rng.choice(newest))
 
     def change_membership(self, pick):
-        """Add a spare, or remove a voter if there are more than at first.
+        """Add a spare VM, or remove a voter if there are more than three.
 
-        ``pick`` chooses one of a list.
+        ``pick`` chooses an item of a list.
         """
         leader = self.controls.get(self.leader)
         if not self.has_leader() or not leader.promises.ready_for_membership_change(
@@ -397,10 +403,10 @@
             )
 
     def _join(self, node):
-        """Join; another process's live claim is refused, but for a rare race."""
+        """Join, unless another process holds the name; rarely, a race ignores that."""
         newest = self.region.newest_epoch.get(node.target, 0)
         claimed = newest in self.region.live() and newest != node.holder.epoch
-        if claimed and self.rng.random() < 1.0 - self.racing:
+        if claimed and self.rng.random() < 1.0 - self.race_probability:
             epoch = 0
         else:
             epoch = self.commit("join", node.target)
@@ -424,32 +430,32 @@
             self.after(seconds, lambda: self._wake(node))
 
     def _wake(self, node):
-        node.frozen_for += self.now - node.frozen_at
+        node.frozen_for_s += self.now - node.frozen_at
         node.frozen_at = None
         backlog, node.backlog = node.backlog, []
         for action, life in backlog:
-            self._carry_out(action, node, life)
+            self._run_event(action, node, life)
 
     def kill(self, node, seconds):
-        """End the process, and start it again after ``seconds``."""
-        if node.alive:
-            node.alive = False
+        """End the process, and restart it after ``seconds``."""
+        if node.is_running:
+            node.is_running = False
             node.life += 1
             self.after(seconds, lambda: self._restart(node))
 
     def _restart(self, node):
-        node.alive = True
+        node.is_running = True
         if node.target:
             self._start_daemon(node)
         else:
             self._boot(node, self.clock(node))
 
-    def for_a_while(self, node, flag, seconds):
+    def set_for(self, node, flag, seconds):
         setattr(node, flag, True)
         self.after(seconds, lambda: setattr(node, flag, False))
 
     def cut(self, source, to, seconds):
-        """Lose all datagrams one way."""
-        way = (source.name, to.name)
-        self.cuts.add(way)
-        self.after(seconds, lambda: self.cuts.discard(way))
+        """Lose all datagrams from ``source`` to ``to`` for ``seconds``."""
+        link = (source.name, to.name)
+        self.cut_links.add(link)
+        self.after(seconds, lambda: self.cut_links.discard(link))
--- a/tests/test_lease_proof.py
+++ b/tests/test_lease_proof.py
@@ -1,4 +1,4 @@
-"""Proofs on a fake clock that no two daemons ever believe to own the same."""
+"""Simulations on a fake clock that check that no two daemons own the same shard."""
 
 import math
 import random
@@ -6,7 +6,7 @@
 import attrs
 import golden
 import pytest
-from lease_scenarios import SCENARIOS, calm, owner_lost, unowned
+from lease_scenarios import SCENARIOS, fault_free_region, owner_lost, run_scenario
 from lease_simulation import Parts, Simulation
 
 from tamarackhaven._lease_holder import LeaseHolder
@@ -16,8 +16,8 @@
 SEEDS = range(20)
 
 
-def trouble(seed, parts=None):
-    """Run 10 s with a new fault every 0.2 s or so."""
+def random_faults(seed, parts=None):
+    """Simulate 10 s with a random fault about every 0.2 s."""
     rng = random.Random(seed)
     sim = Simulation(rng, count=3 if seed % 3 else 5, parts=parts)
     controls, daemons = list(sim.controls.values()), list(sim.daemons.values())
@@ -34,9 +34,9 @@
                 lambda: sim.kill(sim.controls[sim.leader or "c0"], seconds / 3),
                 lambda: sim.cut(daemon, control, seconds),
                 lambda: sim.cut(control, daemon, seconds),
-                lambda: sim.for_a_while(control, "cut_off", seconds),
-                lambda: sim.for_a_while(control, "lags", seconds),
-                lambda: sim.for_a_while(daemon, "cut_off", 2 * seconds),
+                lambda: sim.set_for(control, "cut_off", seconds),
+                lambda: sim.set_for(control, "lags", seconds),
+                lambda: sim.set_for(daemon, "cut_off", 2 * seconds),
                 lambda: sim.change_membership(rng.choice),
             )
         )()
@@ -48,12 +48,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_never_two_owners(seed):
-    """Any mix of freezes, kills, cuts, lags, changes of membership and slow clocks."""
-    assert trouble(seed).recorder.violations == []
+def test_random_faults_never_cause_two_owners(seed):
+    """Freezes, kills, cuts, lags, membership changes and slow clocks are mixed."""
+    assert random_faults(seed).recorder.violations == []
 
 
-class HoldFromAnswer(LeaseHolder):
+class LeaseCountedFromAnswer(LeaseHolder):
     def acked(self, ack, now):
         if ack.seq in self._sent_by_seq:
             sent = self._sent_by_seq[ack.seq]
@@ -91,7 +91,7 @@
         return super().fence(service, target, epoch, now)
 
 
-class NameNotClaimed(LeasePromises):
+class ClaimedNameGranted(LeasePromises):
     def renewal(self, renewal, now, view):
         promise = self._promise_by_target.get(view.target)
         if promise is not None and promise.epoch < renewal.epoch:
@@ -108,25 +108,26 @@
 
 MUTANTS = {
     "any voter in place of a majority": Parts(holder=AnyVoter),
-    "name granted while claimed": Parts(promises=NameNotClaimed),
+    "name granted while claimed": Parts(promises=ClaimedNameGranted),
     "epoch granted before it is applied": Parts(promises=UnknownEpochGranted),
-    "clock stands still while frozen": Parts(clock_counts_freezes=False),
+    "clock stops while frozen": Parts(clock_counts_freezes=False),
 }
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_recorder_sees_two_owners_without_the_safeguard(name):
-    """The same troubles with one safeguard taken out end with two owners."""
-    assert any(trouble(seed, MUTANTS[name]).recorder.violations for seed in SEEDS)
+def test_recorder_detects_two_owners_without_a_safeguard(name):
+    """The same random faults must lead to two owners when one safeguard is removed."""
+    assert any(random_faults(seed, MUTANTS[name]).recorder.violations for seed in SEEDS)
 
 
-def late_answers(seed, parts):
-    """A frozen daemon wakes and finds answers that are as old as its freeze.
+def answers_received_after_freeze(seed, parts):
+    """A frozen daemon resumes and receives answers that are as old as its freeze.
 
-    It sent a renewal, was frozen, and its way to all control VMs is cut meanwhile.
-    Counted from the answers, its lease would outlive every promise.
+    It was frozen after it sent a renewal, and its datagrams to all control VMs are lost
+    from then on. If its lease were counted from the answers, it would outlast every
+    promise.
     """
-    sim, daemon, *controls = calm(seed, parts)
+    sim, daemon, *controls = fault_free_region(seed, parts)
     while not sim.trace or f"{daemon.name} > " not in sim.trace[-1]:
         sim.run(sim.now + 0.0005)
     sim.freeze(daemon, 0.42)
@@ -135,25 +136,25 @@
     return sim
 
 
-def slow_clock_at_the_owner(seed, parts):
-    """The owner's clock is as slow as allowed, and those of all control VMs as fast.
+def slow_clock_of_the_owner(seed, parts):
+    """The owner's clock is as slow as allowed, and all control VMs' are as fast.
 
-    No renewal arrives any more. By their clocks a lease time is over while the owner
+    No renewal arrives any more. On their clocks a lease time is over while the owner
     still counts the last tenth of its own.
     """
-    sim, daemon, *controls = calm(seed, parts)
+    sim, daemon, *controls = fault_free_region(seed, parts)
     for control in controls:
         sim.cut(daemon, control, 9.0)
     return sim
 
 
-def way_to_the_leader_cut(seed, parts):
-    """Only the datagrams from an owner to the leader are lost, and news to the owner.
+def datagrams_to_the_leader_lost(seed, parts):
+    """Datagrams from an owner to the leader and log updates to the owner are lost.
 
     The leader sees a silent target. The other control VMs still promise, so they
     refuse to fence and the owner stays.
     """
-    sim, daemon, leader, *_ = calm(seed, parts)
+    sim, daemon, leader, *_ = fault_free_region(seed, parts)
     daemon.cut_off = True
     sim.cut(daemon, leader, 9.0)
     return sim
@@ -162,10 +163,11 @@
 def restart_before_fence(seed, parts):
     """A control VM restarts just before the leader asks it to fence.
 
-    The leader does not hear the owner, so it asks for fences; the restarted VM has
-    forgotten that it promised. The owner still holds by its answer and a third one's.
+    The leader receives no renewals of the owner, so it asks for fences; the restarted
+    VM has lost its promise. The owner still holds its lease by the answers of that VM
+    and a third one.
     """
-    sim, daemon, leader, second, _ = calm(seed, parts)
+    sim, daemon, leader, second, _ = fault_free_region(seed, parts)
     sim.cut(daemon, leader, 9.0)
     sim.run(sim.now + 0.3)
     sim.cut(daemon, second, 9.0)
@@ -174,13 +176,12 @@
 
 
 def restart_after_fence(seed, parts):
-    """A control VM fences, restarts, and the fenced daemon wakes with an old map.
+    """A control VM fences and restarts, and the fenced daemon resumes with an old map.
 
-    The third control VM never heard that the epoch is retired and the second one has
-    not applied it, so only the second one's fence stands between the daemon and a
-    majority.
+    The third control VM has not received the retirement of the epoch and the second one
+    has not applied it, so only the second one's fence keeps the daemon from a majority.
     """
-    sim, daemon, _, second, third = calm(seed, parts)
+    sim, daemon, _, second, third = fault_free_region(seed, parts)
     second.lags = third.cut_off = daemon.cut_off = True
     sim.freeze(daemon, 3.0)
     sim.run(sim.now + 2.0)
@@ -189,12 +190,12 @@
 
 
 def two_memberships_behind(seed, parts):
-    """An owner renews by the membership before the last but one.
+    """An owner renews with a membership that is two changes old.
 
-    It cannot reach the leader and no news reaches it. Two voters are added; they and
-    the leader make a majority without the two voters that the owner relies on.
+    It cannot reach the leader and receives no log updates. Two voters are added; they
+    and the leader are a majority without the two voters that the owner relies on.
     """
-    sim, daemon, leader, *_ = calm(seed, parts)
+    sim, daemon, leader, *_ = fault_free_region(seed, parts)
     daemon.cut_off = True
     sim.cut(daemon, leader, 9.0)
     for _ in range(2):
@@ -205,9 +206,9 @@
 
 
 SCRIPTS = {
-    slow_clock_at_the_owner: Parts(promises=NoDriftMargin),
-    way_to_the_leader_cut: Parts(promises=FenceDespitePromise),
-    late_answers: Parts(holder=HoldFromAnswer),
+    slow_clock_of_the_owner: Parts(promises=NoDriftMargin),
+    datagrams_to_the_leader_lost: Parts(promises=FenceDespitePromise),
+    answers_received_after_freeze: Parts(holder=LeaseCountedFromAnswer),
     restart_before_fence: Parts(promises=NoWaitAfterRestart),
     restart_after_fence: Parts(fences_are_kept=False),
     two_memberships_behind: Parts(promises=OldMembershipAccepted),
@@ -215,8 +216,8 @@
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_rare_sequence_needs_its_safeguard(script):
-    """One owner with the safeguard, two without it; the script says how."""
+def test_fault_sequence_is_safe_only_with_its_safeguard(script):
+    """There is one owner with the safeguard and two without it, as each script says."""
     for parts, is_safe in ((None, True), (SCRIPTS[script], False)):
         found = []
         for seed in range(5):
@@ -227,16 +228,16 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.fault.__name__)
-def test_shards_are_owned_again_in_time(scenario):
-    """No two owners; a healthy owner keeps its lease, a lost one is soon replaced."""
-    runs = [unowned(scenario, seed) for seed in range(8)]
+def test_shards_have_an_owner_again_within_the_bound(scenario):
+    """A healthy owner keeps its lease and a lost one is replaced within the bound."""
+    runs = [run_scenario(scenario, seed) for seed in range(8)]
     assert max(run.longest_s for run in runs) <= scenario.bound_s
     assert scenario.bound_s or not any(run.rejoined for run in runs)
 
 
-def test_session_of_a_lost_owner():
-    """Owner lost: promises end, a majority fences, the epoch retires, others hold."""
-    sim, *_ = calm(1, settings=LeaseSettings(400, 100), targets="ab")
+def test_trace_of_a_lost_owner():
+    """Promises end, a majority fences, the epoch is retired, another target owns."""
+    sim, *_ = fault_free_region(1, settings=LeaseSettings(400, 100), targets="ab")
     owner_lost(sim)
     start = len(sim.trace)
     sim.run(2.45)
--- a/tests/test_lease_wire.py
+++ b/tests/test_lease_wire.py
@@ -11,11 +11,11 @@
 )
 INDEX = st.integers(0, 2**48 - 1)
 SEQ = st.integers(0, 2**32 - 1)
-REFUSAL_REASON = st.sampled_from([r for r in Reason if r is not Reason.GRANTED])
+REFUSED = st.sampled_from([r for r in Reason if r is not Reason.GRANTED])
 MESSAGES = st.one_of(
     st.builds(Renewal, INDEX, INDEX, SEQ, st.booleans()),
     st.builds(Ack, SEQ, st.just(Reason.GRANTED), INDEX),
-    st.builds(Ack, SEQ, REFUSAL_REASON, INDEX, st.integers(0, 999)),
+    st.builds(Ack, SEQ, REFUSED, INDEX, st.integers(0, 999)),
     st.builds(Hint, INDEX),
 )
 
