--- a/tamarackhaven/_fence_round.py
+++ b/tamarackhaven/_fence_round.py
@@ -1,19 +1,19 @@
-"""The leader's collection of fences from a majority, before it retires an epoch."""
+"""Collects fences from a majority of voters before the leader retires an epoch."""
 
 import attrs
 
 from tamarackhaven._lease_times import MS_PER_S, promise_s, renew_s
 from tamarackhaven._model import TargetState
 
-# A target that has just joined must hear of it and renew; it owns nothing yet, so
-# waiting costs no key its service.
-_JOIN_GRACE_PROMISES = 3
+# A target that has just joined must first receive its epoch and renew. It owns no
+# shards yet, so no key is without service during this wait.
+_JOIN_GRACE_PROMISE_TIMES = 3
 _MIN_RETRY_S = 0.005
 
 
 @attrs.frozen
 class FenceAsk:
-    """Ask ``member`` to refuse the epochs up to this one."""
+    """A request that ``member`` refuse the target's epochs up to ``epoch``."""
 
     member: str
     service: str
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Retire:
-    """A majority has fenced this epoch: propose to retire it, at once."""
+    """An epoch that a majority has fenced and that must be retired immediately."""
 
     service: str
     target: str
@@ -32,14 +32,14 @@
 
 @attrs.define
 class _Round:
-    first_seen: float
+    first_seen_s: float
     fenced: set = attrs.field(factory=set)
-    next_ask_by_voter: dict = attrs.field(factory=dict)
-    retired_at: float | None = None
+    next_ask_s_by_voter: dict = attrs.field(factory=dict)
+    retired_at_s: float | None = None
 
 
 class FenceRounds:
-    """Fence rounds of one leader; a new leader starts with a new object.
+    """Runs the fence rounds of one leader; a new leader creates a new object.
 
     Parameters
     ----------
@@ -57,16 +57,16 @@
         self._voters = ()
 
     def tick(self, now, members, promise_end, voters):
-        """Return whom to ask now; call it every few tens of milliseconds.
+        """Return the fences to request now; call it every few tens of milliseconds.
 
         Parameters
         ----------
         now : float
-            Seconds.
+            Time in seconds.
         members : iterable of TargetMember
             All targets in the log that are not lost.
         promise_end : callable
-            ``LeasePromises.promise_end`` of the leader's own VM.
+            ``LeasePromises.promise_end`` of the leader's own promises.
         voters : iterable of str
             Voters of the newest membership in the leader's log.
 
@@ -86,48 +86,48 @@
         }
         asks = []
         for key, fence_round in self._round_by_epoch.items():
-            if now >= self._silent_at(fence_round, promise_end(*key)):
+            if now >= self._silent_since_s(fence_round, promise_end(*key)):
                 asks += self._asks(key, fence_round, now)
         return asks
 
-    def _silent_at(self, fence_round, end):
+    def _silent_since_s(self, fence_round, end):
         if end is not None:
             return end
-        return fence_round.first_seen + _JOIN_GRACE_PROMISES * self._promise_s
+        return fence_round.first_seen_s + _JOIN_GRACE_PROMISE_TIMES * self._promise_s
 
     @property
     def _quorum(self):
         return len(self._voters) // 2 + 1
 
     def _fenced(self, fence_round):
-        """Return the present voters that fenced; a former voter's fence is no vote."""
+        """Return the current voters that have fenced; former voters don't count."""
         return fence_round.fenced.intersection(self._voters)
 
     def _asks(self, key, fence_round, now):
-        self._give_up_lost_retire(fence_round, now)
-        if fence_round.retired_at is not None:
+        self._restart_if_not_retired(fence_round, now)
+        if fence_round.retired_at_s is not None:
             return []
         asks = []
-        for voter in self._candidates(fence_round):
-            if now >= fence_round.next_ask_by_voter.get(voter, now):
-                fence_round.next_ask_by_voter[voter] = now + self._retry_s
+        for voter in self._voters_to_ask(fence_round):
+            if now >= fence_round.next_ask_s_by_voter.get(voter, now):
+                fence_round.next_ask_s_by_voter[voter] = now + self._retry_s
                 asks.append(FenceAsk(voter, *key))
         return asks
 
-    def _give_up_lost_retire(self, fence_round, now):
-        """Collect again if the retirement was not committed after all."""
-        at = fence_round.retired_at
+    def _restart_if_not_retired(self, fence_round, now):
+        """Start the round again if a retirement wasn't committed in a promise time."""
+        at = fence_round.retired_at_s
         if at is not None and now - at >= self._promise_s:
-            fence_round.retired_at = None
+            fence_round.retired_at_s = None
             fence_round.fenced.clear()
-            fence_round.next_ask_by_voter.clear()
+            fence_round.next_ask_s_by_voter.clear()
 
-    def _candidates(self, fence_round):
+    def _voters_to_ask(self, fence_round):
         """Return the voters to ask, the leader's own VM last.
 
-        If only the way between a daemon and the leader is cut, the others refuse and
-        nothing must be fenced: a fence is for ever, and the healthy daemon would be
-        sent to rejoin as soon as the way is back.
+        If only the path between a daemon and the leader is cut, the other voters refuse
+        and nothing must be fenced: a fence is permanent, and the healthy daemon would
+        have to rejoin as soon as the path is restored.
         """
         fenced = self._fenced(fence_round)
         missing = [voter for voter in self._voters if voter not in fenced]
@@ -136,25 +136,25 @@
         return missing
 
     def answered(self, member, ask, fenced, remaining_ms, now):
-        """Count one answer.
+        """Process one answer to a fence request.
 
         Parameters
         ----------
         member : str
-            Who answered.
+            Name of the voter that answered.
         ask : FenceAsk
-            What it was asked.
+            The request that it answers.
         fenced : bool
-            Whether it has fenced the epoch, durably.
+            Whether it has durably fenced the epoch.
         remaining_ms : int
-            When to ask again if not, in milliseconds.
+            If not, time until the request may be repeated, in milliseconds.
         now : float
-            Seconds.
+            Time in seconds.
 
         Returns
         -------
         Retire or None
-            Set once a majority of the present voters has fenced.
+            Not None once a majority of the current voters has fenced.
         """
         key = (ask.service, ask.target, ask.epoch)
         fence_round = self._round_by_epoch.get(key)
@@ -162,11 +162,11 @@
             return None
         if not fenced:
             wait_s = max(_MIN_RETRY_S, remaining_ms / MS_PER_S)
-            fence_round.next_ask_by_voter[member] = now + wait_s
+            fence_round.next_ask_s_by_voter[member] = now + wait_s
             return None
         fence_round.fenced.add(member)
         is_majority = len(self._fenced(fence_round)) >= self._quorum
-        if not is_majority or fence_round.retired_at is not None:
+        if not is_majority or fence_round.retired_at_s is not None:
             return None
-        fence_round.retired_at = now
+        fence_round.retired_at_s = now
         return Retire(*key)
--- a/tamarackhaven/_fences.py
+++ b/tamarackhaven/_fences.py
@@ -1,4 +1,4 @@
-"""The epochs that this control VM refuses from now on, kept on disk."""
+"""Durable record of the epochs that this control VM has fenced."""
 
 import pathlib
 import threading
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Fence:
-    """Epochs of a target up to ``epoch`` are refused."""
+    """Refusal of a target's epochs up to and including ``epoch``."""
 
     service: str
     target: str
@@ -21,14 +21,14 @@
 
 
 class FenceFile:
-    """The fences of one control VM; use ``FenceFile.open``.
+    """Stores the fences of one control VM; create it with ``FenceFile.open``.
 
     Parameters
     ----------
     path : pathlib.Path
-        The file.
+        Path of the file.
     files : Files
-        File operations.
+        File operations, replaceable in tests.
     epochs_by_target : dict of (str, str) to int
         Highest refused epoch by service and target.
     """
@@ -51,8 +51,9 @@
         files : Files or None
             File operations, the system's if None.
         must_exist : bool
-            True for a folder that was in use before. A missing file is then a loss
-            of promises; else an empty one is made, so that a loss can be told.
+            True for a folder that was in use before: a missing file then means that
+            fences were lost, and raises LOG_DAMAGED. Otherwise a missing file is
+            created empty, so that a later loss can be detected.
 
         Raises
         ------
@@ -68,17 +69,17 @@
         return cls(path, files, _read(path))
 
     def fence(self, service, target, epoch):
-        """Refuse ``epoch`` and all before it; durable when this returns.
+        """Refuse ``epoch`` and all earlier ones; durable when this returns.
 
         Raises
         ------
         TamarackhavenError
-            SYNC_FAILED or DISK_FULL, and again at every later call.
+            SYNC_FAILED or DISK_FULL; after a failure every later call raises it again.
         """
-        # Failure: two targets are lost at once, and two threads replace the file at the
-        # same time. Symptom: one takes the other's new file away, or its fence gets
-        # lost though it was told as durable. One at a time, and each in the file
-        # before the next begins, is enough.
+        # When two targets are lost at the same time, two threads replace the file.
+        # Without the lock, one could remove the other's new file, or overwrite a fence
+        # that was already reported as durable. The lock ensures that each fence is in
+        # the file before the next replacement begins.
         with self._lock:
             self._fence((service, target), epoch)
 
--- a/tamarackhaven/_leader.py
+++ b/tamarackhaven/_leader.py
@@ -1,8 +1,8 @@
-"""What the leader does beyond replicating: retire the silent, place, pin.
+"""The leader's duties besides replication: retiring targets, placement and pins.
 
 All decisions are made by pure modules (``_fence_round``, ``_placement``, ``_pins``);
-this one gathers their inputs and proposes what comes out. A proposal names the epoch
-or grant that it was made for, so one made from an old state changes nothing.
+this module collects their inputs and proposes their results. A proposal names the epoch
+or grant that it is based on, so one based on an old state has no effect.
 """
 
 import contextlib
@@ -24,12 +24,12 @@
 from tamarackhaven._state import encode_command
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-PIN_EVERY_S = 1.0
-# Plans without a change of state, for targets that turn cold or warm. A plan that
-# finds nothing to do costs a tenth of a second of CPU at the design size.
-REPLAN_EVERY_S = 5.0
-FAILED_PAUSE_S = 0.2
-COLD_WARMTH = 0.3
+PIN_INTERVAL_S = 1.0
+# Replans without a change of state, for targets that become cold or warm. A plan
+# without moves takes a tenth of a second of CPU at the design size.
+REPLAN_INTERVAL_S = 5.0
+FAILED_STEP_PAUSE_S = 0.2
+COLD_WARMTH_FRACTION = 0.3
 REFUSALS_KEPT = 200
 
 
@@ -41,18 +41,18 @@
 
 
 class LeaderDuties:
-    """Runs on every control VM, acts only where the leader is.
+    """Runs on every control VM, but acts only on the leader.
 
     Parameters
     ----------
     settings : ControlSettings
-        Of this control VM.
+        Settings of this control VM.
     consensus, machine, peers, leases
-        The parts of this control VM.
+        The components of this control VM.
     clock : module
-        Gives ``boot_s`` and ``unix_s``.
+        Provides ``boot_s`` and ``unix_s``.
     log : Log
-        Of the part ``leader``.
+        Log of the part ``leader``.
     """
 
     def __init__(self, settings, consensus, machine, peers, leases, clock, log):
@@ -65,9 +65,9 @@
         self._urgent_after_s = settings.lease.zone_grace_ms / 1000 / 2
         self._clock = clock
         self._log = log
-        # Load: replies and reports of hundreds of daemons, while a plan at the design
-        # size takes a quarter of a second. Harm: a lock around both would hold up the
-        # event loop, and with it consensus itself. So they wait here for the next step.
+        # Replies and reports of hundreds of daemons arrive while a plan at the design
+        # size takes a quarter of a second. A lock around both would block the event
+        # loop, and with it consensus, so they are queued here for the next step.
         self._inbox = queue.SimpleQueue()
         self._stopping = threading.Event()
         self._wake = threading.Event()
@@ -84,10 +84,10 @@
         self._planned_by_service = {}
         self._proposed_by_service = {}
         self._holds_by_service = {}
-        self._going_by_service = {}
+        self._stopping_since_by_service = {}
         self._cold_shards_by_service = {}
         self._retiring = {}
-        self._pinned_at = 0.0
+        self._pinned_at_s = 0.0
 
     def start(self):
         """Start the thread."""
@@ -106,14 +106,14 @@
             try:
                 self.step(self._clock.boot_s())
             except TamarackhavenError as error:
-                # Leadership was lost in the middle: the next leader goes on.
-                self._log.say("step given up", code=error.kind.value)
-            except Exception as error:  # the leader must not die of one bad input
+                # Leadership was lost during the step; the next leader continues.
+                self._log.say("step aborted", code=error.kind.value)
+            except Exception as error:  # one bad input must not end the thread
                 self._log.say("step failed", error=repr(error))
-                self._stopping.wait(FAILED_PAUSE_S)
+                self._stopping.wait(FAILED_STEP_PAUSE_S)
 
     def step(self, now):
-        """Take one step at ``now``, in seconds; nothing where this VM does not lead."""
+        """Run one step at ``now``, in seconds, if this VM is the leader."""
         status = self._consensus.status()
         if status.role is not Role.LEADER:
             self._term = 0
@@ -122,21 +122,21 @@
             self._term = status.term
             self._start_term()
             self._leases.membership_changed()
-        self._take_inbox(now)
+        self._process_inbox(now)
         self._fence(now, status.membership.voters)
-        self._retire_left()
-        # Before placement: pins on their way home must not be moved away again.
+        self._retire_left_targets()
+        # Before placement, which must not move away pins that are being moved home.
         self._pin(now)
         self._place(now)
 
-    def _take_inbox(self, now):
+    def _process_inbox(self, now):
         with contextlib.suppress(queue.Empty):
             while True:
-                self._take(self._inbox.get_nowait(), now)
+                self._process(self._inbox.get_nowait(), now)
 
     @singledispatchmethod
-    def _take(self, item, now):
-        raise TypeError(f"no input: {type(item).__name__}")
+    def _process(self, item, now):
+        raise TypeError(f"unexpected leader input: {type(item).__name__}")
 
     # --- silent targets ---------------------------------------------------------
 
@@ -147,7 +147,7 @@
         for ask in asks:
             if ask.member == self._settings.name:
                 fenced = self._leases.fence(ask.service, ask.target, ask.epoch)
-                self._take(_FenceReply(ask, fenced.ok, fenced.remaining_ms), now)
+                self._process(_FenceReply(ask, fenced.ok, fenced.remaining_ms), now)
             else:
                 future = self._peers.fence(
                     ask.member, ask.service, ask.target, ask.epoch
@@ -161,7 +161,7 @@
             self._inbox.put(_FenceReply(ask, answer.fenced, remaining_ms))
             self._wake.set()
 
-    @_take.register
+    @_process.register
     def _(self, item: _FenceReply, now):
         ask = item.ask
         retire = self._rounds.answered(
@@ -187,12 +187,12 @@
         except TamarackhavenError as error:
             self._log.say("proposal refused", code=error.kind.value)
             return None
-        # The next step of a placement follows the last one at once.
+        # Run the next step of a placement as soon as this one is committed.
         future.add_done_callback(lambda _: self._wake.set())
         return future
 
-    def _retire_left(self):
-        """Retire targets that left and own nothing; nobody has to fence those."""
+    def _retire_left_targets(self):
+        """Retire targets that left and own no shards; these need no fence."""
         with self._machine.lock:
             state = self._machine.state
             left = [
@@ -202,7 +202,7 @@
             ]
         for member in left:
             key = member.service, member.target, member.epoch
-            if not _running(self._retiring.get(key)):
+            if not _is_running(self._retiring.get(key)):
                 self._retiring[key] = self._propose(
                     RetireTarget(*key, "it left and owns nothing")
                 )
@@ -216,7 +216,7 @@
             services = [
                 service
                 for service in state.services
-                if self._due(service, now, version)
+                if self._is_due(service, now, version)
             ]
             steps = [
                 (service, self._inputs(state, service, now)) for service in services
@@ -228,30 +228,34 @@
             for change in step.changes():
                 self._proposed_by_service[service.name] = self._propose(change)
 
-    def _due(self, service, now, version):
-        if _running(self._proposed_by_service.get(service.name)):
+    def _is_due(self, service, now, version):
+        if _is_running(self._proposed_by_service.get(service.name)):
             return False
         planned, at = self._planned_by_service.get(service.name, (-1, 0.0))
-        pause = self._urgent_after_s if self._is_held(service) else REPLAN_EVERY_S
+        pause = (
+            self._urgent_after_s
+            if self._has_stopping_targets(service)
+            else REPLAN_INTERVAL_S
+        )
         return planned != version or now - at >= pause
 
-    def _is_held(self, service):
-        return bool(self._going_by_service.get(service.name))
+    def _has_stopping_targets(self, service):
+        return bool(self._stopping_since_by_service.get(service.name))
 
-    def _urgent(self, state, service, now):
-        """Return the targets that soon stop although they still own shards.
+    def _urgent_targets(self, state, service, now):
+        """Return the targets that will soon stop although they still own shards.
 
-        They leave, or their zone is out, and half the time is over in which they still
-        serve what has not moved.
+        They are leaving or in a zone that is out, and half of the time has passed for
+        which they still serve the shards that haven't moved.
         """
-        going = {
+        stopping = {
             member.target
             for member in state.members
-            if member.service == service.name and _is_going(state, member)
+            if member.service == service.name and _is_stopping(state, member)
         }
-        since = self._going_by_service.get(service.name, {})
-        since = {target: since.get(target, now) for target in going}
-        self._going_by_service[service.name] = since
+        since = self._stopping_since_by_service.get(service.name, {})
+        since = {target: since.get(target, now) for target in stopping}
+        self._stopping_since_by_service[service.name] = since
         late = now - self._urgent_after_s
         return frozenset(target for target, at in since.items() if at <= late)
 
@@ -263,10 +267,10 @@
             zones_by_name={zone.name: zone for zone in state.zones},
             members=state.members,
             grants_by_shard=dict(state.grants(service.name)),
-            urgent_targets=self._urgent(state, service, now),
+            urgent_targets=self._urgent_targets(state, service, now),
             fixed_shards=self._cold_shards_by_service.get(service.name, frozenset()),
             warmth_by_target={
-                report.target: COLD_WARMTH
+                report.target: COLD_WARMTH_FRACTION
                 for report in reports.values()
                 if report.service == service.name and report.cold
             },
@@ -293,9 +297,9 @@
     # --- hot keys ---------------------------------------------------------------
 
     def _pin(self, now):
-        if now - self._pinned_at < PIN_EVERY_S:
+        if now - self._pinned_at_s < PIN_INTERVAL_S:
             return
-        self._pinned_at = now
+        self._pinned_at_s = now
         with self._machine.lock:
             state = self._machine.state
             rows = [
@@ -308,8 +312,8 @@
             ]
         for service, policy, grants in rows:
             moving = sum(bool(grant.moving_to) for grant in grants.values())
-            room = policy.move_batch - moving
-            decision = self._pins.decide(service, policy, grants, now, room)
+            max_moves = policy.move_batch - moving
+            decision = self._pins.decide(service, policy, grants, now, max_moves)
             self._cold_shards_by_service[service.name] = decision.cold_shards
             for change in decision.changes:
                 self._propose(change)
@@ -319,11 +323,11 @@
                 )
 
     def report(self, report):
-        """Take a daemon's ``LoadReport``; the next step looks at it."""
+        """Queue a daemon's ``LoadReport`` for the next step."""
         if self._consensus.status().role is Role.LEADER:
             self._inbox.put(report)
 
-    @_take.register
+    @_process.register
     def _(self, item: LoadReport, now):
         self._report_by_target[item.service, item.target] = item
         self._pins.report(item, now)
@@ -333,13 +337,13 @@
     def checked_join(self, change):
         """Return a ``JoinTarget`` that may be proposed.
 
-        Checked before the log, too, so that a claimant that tries again and again
-        costs no entries.
+        The name is also checked before the log, so that a process that retries again
+        and again adds no log entries.
 
         Raises
         ------
         TamarackhavenError
-            NAME_CLAIMED until the other process of that name is retired.
+            NAME_CLAIMED until the other process with that name is retired.
         """
         with self._machine.lock:
             old = self._machine.state.member(change.service, change.target)
@@ -354,14 +358,21 @@
         return change
 
     def check_membership_step(self, step):
-        """Refuse a change of membership while leases of an older one may hold."""
+        """Refuse a membership change while leases under an older one may hold.
+
+        Raises
+        ------
+        TamarackhavenError
+            NO_QUORUM until those leases have ended.
+        """
         if not self._leases.ready_for_membership_change():
             raise TamarackhavenError(
-                ErrorKind.NO_QUORUM, "The last change is less than a lease ago."
+                ErrorKind.NO_QUORUM,
+                "The last membership change is less than a lease ago.",
             )
 
 
-def _is_going(state, member):
+def _is_stopping(state, member):
     if member.state is TargetState.LEAVING:
         return True
     zone = state.resource("AvailabilityZone", member.zone)
@@ -374,5 +385,5 @@
     return any(grant.owner == member.target for grant in grants)
 
 
-def _running(future):
+def _is_running(future):
     return future is not None and not future.done()
--- a/tests/test_fence_round.py
+++ b/tests/test_fence_round.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's collection of fences."""
+"""Tests of the leader's fence rounds."""
 
 from tamarackhaven._fence_round import FenceAsk, FenceRounds, Retire
 from tamarackhaven._model import Address, TargetMember
@@ -6,26 +6,27 @@
 
 SETTINGS = LeaseSettings(lease_ms=500, renew_ms=100, drift=0.0)
 MEMBERS = [TargetMember("s", "t", "z", "i", "n", Address("h", 1), epoch=5)]
-ENDED = {("s", "t", 5): 1.0}
+PROMISE_END_S_BY_KEY = {("s", "t", 5): 1.0}
 
 
 def ask(member):
     return FenceAsk(member, "s", "t", 5)
 
 
-def tick(rounds, now, voters="abc", ended=ENDED):
+def tick(rounds, now, voters="abc", ended=PROMISE_END_S_BY_KEY):
     def promise_end(*key):
         return ended.get(key)
 
     return rounds.tick(now, MEMBERS, promise_end, voters)
 
 
-def test_others_are_asked_first_and_the_leader_itself_last():
-    """Nobody is fenced while the others still hear the target.
+def test_other_voters_are_asked_before_the_leader_itself():
+    """No target must be fenced while the other voters still receive its renewals.
 
-    The leader's own promise ends at 1.0 s. One refuses and is asked again when it
-    said; the other fences; then the leader is asked, too, and a majority retires. As
-    the retirement is never committed, the round starts again a promise time later.
+    The leader's own promise ends at 1.0 s. One voter refuses and is asked again after
+    its wait; the other one fences; then the leader is asked too, and a majority has
+    fenced. The retirement is never committed, so the round restarts a promise time
+    later.
     """
     rounds = FenceRounds(SETTINGS, "a")
     assert tick(rounds, 0.99) == []
@@ -51,7 +52,7 @@
     assert rounds.answered("d", ask("d"), True, 0, 1.0) == Retire("s", "t", 5)
 
 
-def test_a_target_never_heard_has_three_promise_times_to_renew():
+def test_target_that_never_renewed_has_three_promise_times_to_do_so():
     rounds = FenceRounds(SETTINGS, "a")
     assert tick(rounds, 1.0, ended={}) == []
     assert tick(rounds, 2.49, ended={}) == []
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the leader's duties, with a log that commits at once."""
+"""Tests of the leader's duties, with a log that commits immediately."""
 
 from concurrent.futures import Future
 
@@ -30,11 +30,11 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 NAMES = ("c1", "c2", "c3")
-MEMBERS = Membership(tuple(Member(n, "127.0.0.1", 1, 2) for n in NAMES))
+MEMBERSHIP = Membership(tuple(Member(n, "127.0.0.1", 1, 2) for n in NAMES))
 
 
 class FakeConsensus:
-    """Commits every proposal at once and applies it."""
+    """Commits and applies every proposal immediately."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -42,7 +42,7 @@
         self.role = Role.LEADER
 
     def status(self):
-        return Status("c1", self.role, "c1", 1, self.index, self.index, MEMBERS)
+        return Status("c1", self.role, "c1", 1, self.index, self.index, MEMBERSHIP)
 
     def propose(self, command):
         self.index += 1
@@ -56,7 +56,7 @@
 
 @attrs.define
 class FakeLeases:
-    """Promises that ended, but for those of targets that still renew."""
+    """Leases whose promises have ended, except for targets in ``renewing``."""
 
     renewing: set = attrs.field(factory=set)
 
@@ -67,12 +67,12 @@
         return Fenced(target not in self.renewing, 100)
 
     def membership_changed(self):
-        """Nothing to wait for."""
+        """Do nothing; no lease of an older membership exists."""
 
 
 @attrs.define
 class FakePeers:
-    """Other control VMs; those in ``promised`` still hold a promise."""
+    """Other control VMs; for those in ``promised`` a promise still runs."""
 
     promised: set = attrs.field(factory=set)
     silent: set = attrs.field(factory=set)
@@ -87,10 +87,10 @@
 
 
 class Group:
-    """One leader with two targets."""
+    """A leader with two targets."""
 
     def __init__(self):
-        self.machine = Machine(MEMBERS)
+        self.machine = Machine(MEMBERSHIP)
         self.consensus = FakeConsensus(self.machine)
         self.leases = FakeLeases({"t1", "t2"})
         self.peers = FakePeers()
@@ -151,8 +151,8 @@
     assert sorted(group.owners()) == ["t1"] * 4 + ["t2"] * 4
 
 
-def test_a_silent_target_is_retired_after_a_majority_fenced_it(group):
-    """A target's VM is lost: its shards are served elsewhere."""
+def test_silent_target_is_retired_after_a_majority_fenced_it(group):
+    """A target's VM is lost; its shards must get another owner."""
     group.steps()
     group.leases.renewing.discard("t1")
     group.peers.silent.add("c3")
@@ -161,11 +161,11 @@
     assert group.owners() == ["t2"] * 8
 
 
-def test_a_target_that_others_still_hear_is_not_retired(group):
-    """Only the way between a target and the leader is cut.
+def test_target_that_renews_at_other_control_vms_is_not_retired(group):
+    """Only the path between a target and the leader is cut.
 
-    The other control VMs still promise, so its daemon holds its lease and serves.
-    Retired by the leader's word alone, its shards would have two owners.
+    The other control VMs still promise, so its daemon holds its lease and serves. If
+    the leader alone could retire it, its shards would have two owners.
     """
     group.steps()
     group.leases.renewing.discard("t1")
@@ -175,13 +175,13 @@
     assert sorted(group.owners()) == ["t1"] * 4 + ["t2"] * 4
 
 
-def test_a_follower_decides_nothing(group):
+def test_follower_makes_no_proposals(group):
     group.consensus.role = Role.FOLLOWER
     group.steps()
     assert group.owners() == [""] * 8
 
 
-def test_a_name_is_claimed_until_its_process_is_retired(group):
+def test_name_is_claimed_until_its_process_is_retired(group):
     with pytest.raises(TamarackhavenError) as caught:
         group.join("t1", "a", instance="two")
     assert caught.value.kind is ErrorKind.NAME_CLAIMED
@@ -190,7 +190,7 @@
     assert group.join("t1", "a", instance="two").code == ""
 
 
-def test_a_zone_that_is_out_is_emptied_in_batches(group):
+def test_zone_that_is_out_is_emptied_in_batches(group):
     group.steps()
     zone = group.machine.state.resource("AvailabilityZone", "b")
     out = attrs.evolve(zone, state=ZoneState.OUT, version=0)
@@ -200,11 +200,11 @@
     assert sum(grant.moving_to == "t1" for grant in grants) == 4
 
 
-def test_shards_leave_for_a_cold_target_before_nobody_serves_them(group):
+def test_shards_move_to_a_cold_target_before_their_owner_stops(group):
     """A zone is taken out while the only other target is cold.
 
-    Held back until that one is warm, the shards would be served by nobody once their
-    owner stops taking work. The cold target's gate refuses what is too much.
+    If the shards waited until that target is warm, no target would serve them once
+    their owner stops accepting work. The cold target's gate refuses excess requests.
     """
     group.steps()
     group.leader.report(LoadReport("s", "t1", 5, 1.0, 1, cold=True))
@@ -217,14 +217,14 @@
     assert sum(grant.moving_to == "t1" for grant in grants) == 4
 
 
-def test_a_target_that_left_is_retired_once_it_owns_nothing(group):
+def test_target_that_left_is_retired_once_it_owns_no_shards(group):
     epoch = group.member("t1").epoch
     group.consensus.do(LeaveTarget("s", "t1", epoch))
     group.steps(1)
     assert group.member("t1").state is TargetState.LOST
 
 
-def test_a_reported_hot_key_gets_a_shard_of_its_own(group):
+def test_reported_hot_key_is_pinned_to_its_own_shard(group):
     group.steps()
     hot = [HotKey(key_hash=77, share=0.9)]
     group.leader.report(LoadReport("s", "t1", 5, 100.0, 12, False, hot))
@@ -234,7 +234,7 @@
     assert [grant.key_hash for grant in pinned] == [77]
 
 
-def test_moves_not_made_are_recorded_once(group):
+def test_held_moves_are_recorded_once(group):
     group.leases.renewing.clear()
     group.steps(10)
     held = group.leader.refusals.find("s")
