--- a/tamarackhaven/_grants.py
+++ b/tamarackhaven/_grants.py
@@ -1,4 +1,4 @@
-"""The shards that this daemon's target owns, and the requests in flight in each."""
+"""Tracks the shards that the target owns, and the requests in flight in each."""
 
 import threading
 from collections import Counter
@@ -10,14 +10,14 @@
 
 
 class Grants:
-    """Counts requests in flight by shard; a stopped shard takes no new one.
+    """Counts requests in flight by shard, and rejects new ones for stopped shards.
 
     Parameters
     ----------
     ledger : Ledger
-        Adopts and drops the bookings of a shard with its grant.
+        Adopts and drops a shard's bookings together with its grant.
     clock : Clock
-        For the ledger.
+        Clock for the ledger.
     """
 
     def __init__(self, ledger, clock):
@@ -26,20 +26,21 @@
         self._lock = threading.Condition()
         self._grant_by_shard = {}
         self._stopped_by_shard = {}
-        self._in_flight = Counter()  # by service, shard and key hash
+        self._in_flight_by_entry = Counter()  # by service, shard and key hash
 
     def replace(self, grants, pop_part=None, shard_count=0):
-        """Own exactly ``grants`` from now on.
+        """Replace the owned grants by ``grants``.
 
         Parameters
         ----------
         grants : list of ShardGrant
-            All that the target owns.
+            All grants that the target owns.
         pop_part : callable or None
             ``pop_part(service, shard)`` returns the ``LedgerPart`` that the former
             owner sent, or None.
         shard_count : int
-            Of the service; shards from there on are pinned keys.
+            The service's number of ordinary shards; higher shard numbers are pinned
+            keys.
         """
         new_by_shard = {(g.service, g.shard): g for g in grants}
         now_unix = self._clock.unix_s()
@@ -69,17 +70,17 @@
             self._ledger.restart(shard[0], base, now_unix)
 
     def stop(self, shard):
-        """Take no new request of a shard, a pair of service and number."""
+        """Reject new requests for ``shard``, a pair of service and shard number."""
         with self._lock:
             self._stopped_by_shard[shard] = True
 
     def resume(self, shard):
-        """Take requests of a stopped shard again."""
+        """Accept requests for a stopped shard again."""
         with self._lock:
             self._stopped_by_shard.pop(shard, None)
 
     def enter(self, grant, key_hash):
-        """Count a request in.
+        """Admit a request and count it as in flight.
 
         Raises
         ------
@@ -88,62 +89,64 @@
         """
         shard = (grant.service, grant.shard)
         with self._lock:
-            # One step under one lock: were the check apart from the count, a request
-            # between them would run after the shard was released.
+            # The check and the count share one lock: if the shard were stopped and
+            # released between them, the request would run after the release.
             known = self._grant_by_shard.get(shard)
-            mine = known is not None and known.grant == grant.grant
-            if not mine or shard in self._stopped_by_shard:
+            is_owned = known is not None and known.grant == grant.grant
+            if not is_owned or shard in self._stopped_by_shard:
                 raise TamarackhavenError(ErrorKind.MOVING, "", RETRY_AFTER_S)
-            self._in_flight[*shard, key_hash] += 1
+            self._in_flight_by_entry[*shard, key_hash] += 1
 
     def enter_shared(self, grant, key_hash):
-        """Count in a request of a shared service, whose keys are granted to nobody."""
+        """Count a request of a shared service, whose keys have no owner."""
         with self._lock:
-            self._in_flight[grant.service, grant.shard, key_hash] += 1
+            self._in_flight_by_entry[grant.service, grant.shard, key_hash] += 1
 
     def leave(self, grant, key_hash):
-        """Count a request out."""
+        """Count a request as ended."""
         entry = (grant.service, grant.shard, key_hash)
         with self._lock:
-            self._in_flight[entry] -= 1
-            if not self._in_flight[entry]:
-                del self._in_flight[entry]
+            self._in_flight_by_entry[entry] -= 1
+            if not self._in_flight_by_entry[entry]:
+                del self._in_flight_by_entry[entry]
 
     def in_flight(self, shard):
-        """Return the number of requests in flight in a shard."""
+        """Return the number of requests in flight for a shard."""
         with self._lock:
             return sum(
-                count for entry, count in self._in_flight.items() if entry[:2] == shard
+                count
+                for entry, count in self._in_flight_by_entry.items()
+                if entry[:2] == shard
             )
 
     def in_flight_all(self):
-        """Return the number of requests in flight in all shards."""
+        """Return the number of requests in flight for all shards."""
         with self._lock:
-            return self._in_flight.total()
+            return self._in_flight_by_entry.total()
 
     def in_flight_of(self, grant, shard_count):
         """Return the number of requests in flight that a release must wait for.
 
-        Failure: a key was pinned or unpinned while a request for it ran, which is
-        counted under the other shard. Symptom: its shard is released and a second
-        target serves the key while the first is still at work. So a pinned key waits
-        for its requests under any shard, and a shard for those of keys that came back
-        to it.
+        A key may be pinned or unpinned while a request for it runs, and that request is
+        counted under the other shard. If the release didn't wait for it, a second
+        target would serve the key while the first one still works on it. So the release
+        of a pinned key waits for the key's requests under any shard, and that of an
+        ordinary shard also for those of unpinned keys that returned to it.
         """
         with self._lock:
             pinned = {g.key_hash for g in self._grant_by_shard.values() if g.key_hash}
             total = 0
-            for (service, shard, key_hash), count in self._in_flight.items():
+            for (service, shard, key_hash), count in self._in_flight_by_entry.items():
                 if service != grant.service:
                     continue
                 if grant.key_hash:
-                    counts = shard == grant.shard or key_hash == grant.key_hash
+                    is_counted = shard == grant.shard or key_hash == grant.key_hash
                 else:
-                    came_back = (
+                    is_unpinned = (
                         shard >= shard_count
                         and key_hash not in pinned
                         and shard_of(key_hash, shard_count) == grant.shard
                     )
-                    counts = shard == grant.shard or came_back
-                total += count if counts else 0
+                    is_counted = shard == grant.shard or is_unpinned
+                total += count if is_counted else 0
             return total
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -1,4 +1,4 @@
-"""Tests of the sketch of hot keys and of the pins decided from it."""
+"""Tests of the hot-key sketch and of the pins that are decided from it."""
 
 import collections
 import random
@@ -24,32 +24,32 @@
     st.integers(1, 8),
 )
 def test_sketch_agrees_with_exact_counts(requests, counters):
-    """Compared with exact decayed counts in one dictionary without bound."""
-    half_life = 30.0
-    sketch = HotKeys(HotKeySettings(counters, half_life))
+    """The reference is exact decayed counts in one unbounded dictionary."""
+    half_life_s = 30.0
+    sketch = HotKeys(HotKeySettings(counters, half_life_s))
     exact, now = collections.Counter(), 0.0
-    for key, pause in requests:
-        now += pause
+    for key, pause_s in requests:
+        now += pause_s
         for known in exact:
-            exact[known] *= 0.5 ** (pause / half_life)
+            exact[known] *= 0.5 ** (pause_s / half_life_s)
         exact[key] += 1.0
         sketch.offer(key, now)
         assert len(sketch) <= counters
     total = sum(exact.values())
     found = {hot.key_hash: hot.share for hot in sketch.hottest(counters)}
     for key, share in found.items():
-        true = exact[key] / total
-        assert true - sketch.error_bound() - 1e-9 <= share <= true + 1e-9
+        true_share = exact[key] / total
+        assert true_share - sketch.error_bound() - 1e-9 <= share <= true_share + 1e-9
     frequent = {k for k in exact if exact[k] / total > sketch.error_bound() + 1e-9}
     assert frequent <= set(found)
 
 
 def test_the_22_hottest_of_a_skewed_stream_are_found():
-    draw = random.Random(5)
+    rng = random.Random(5)
     sketch = HotKeys(HotKeySettings(counters=256))
     for number in range(40_000):
-        hot = draw.random() < 0.5
-        key = draw.randrange(22) if hot else draw.randrange(10**9) + 100
+        hot = rng.random() < 0.5
+        key = rng.randrange(22) if hot else rng.randrange(10**9) + 100
         sketch.offer(key, number / 1000)
     assert {hot.key_hash for hot in sketch.hottest(22)} == set(range(22))
 
@@ -66,11 +66,12 @@
     }
 
 
-def test_a_pin_lives_until_its_key_is_cold_and_home():
-    """A key is hot for a while, then cold, while its pin is at another target.
+def test_pin_lasts_until_its_key_is_cold_and_at_its_home_owner():
+    """A key is hot, then cold, while its pin is at another target.
 
-    It is pinned once, kept while its share is between the thresholds and for the
-    shortest life, moved home, and folded back only there; so it never has two owners.
+    It is pinned once, stays pinned between the thresholds and for the minimum lifetime,
+    moves to the owner of its shard, and is unpinned only there. Otherwise the key could
+    have two owners.
     """
     planner = PinPlanner(PlacementSettings(pin_rate=1.0))
     report(planner, 0, k5=0.3, k6=0.2, k7=0.1, k8=0.04)
@@ -81,8 +82,8 @@
         report(planner, now, k5=share)
         assert planner.decide(SERVICE, POLICY, grants("t2"), now).moves == []
     report(planner, 71, k5=0.001)
-    on_the_way = planner.decide(SERVICE, POLICY, grants("t2", moving_to="t3"), 71)
-    assert on_the_way.moves == on_the_way.changes == []
+    while_moving = planner.decide(SERVICE, POLICY, grants("t2", moving_to="t3"), 71)
+    assert while_moving.moves == while_moving.changes == []
     decision = planner.decide(SERVICE, POLICY, grants("t2"), 71)
     assert (decision.moves, decision.changes) == ([ShardMove(4, 9, "t1")], [])
     assert decision.cold_shards == {4}
@@ -90,7 +91,7 @@
     assert [type(change) for change in decision.changes] == [UnpinKey]
 
 
-def test_thresholds_mean_the_same_with_many_targets():
+def test_pin_thresholds_do_not_depend_on_the_number_of_targets():
     """A key is 6% of its target's requests, and 0.06% of those of all 100 targets."""
     planner = PinPlanner(PlacementSettings(pin_rate=1.0))
     for number in range(100):
@@ -100,10 +101,10 @@
     assert [change.key_hash for change in pinned] == [6]
 
 
-def test_stale_and_replaced_reports_decide_nothing():
-    """A target is cut off, or a replaced process still reports.
+def test_stale_reports_and_those_of_replaced_processes_are_ignored():
+    """A target is cut off, or a replaced process still sends reports.
 
-    Pins stay as they are: an old report neither pins a key nor unpins one.
+    The pins must stay as they are: an old report neither pins nor unpins a key.
     """
     planner = PinPlanner(PlacementSettings(pin_rate=1.0, pin_hold_s=0.0))
     report(planner, 0, epoch=5, k6=0.5)
@@ -114,10 +115,10 @@
     assert late.changes == late.moves == []
 
 
-def test_a_key_that_few_ask_for_is_not_pinned_however_few_others_there_are():
-    """With a handful of keys in use each is a large part of the load.
+def test_key_with_a_low_rate_is_not_pinned_even_if_few_keys_are_in_use():
+    """If only a few keys are in use, each is a large part of the load.
 
-    Pinned, nearly all keys would move for no gain.
+    Pinning by share alone would move nearly all keys without any gain.
     """
     planner = PinPlanner(PlacementSettings(pin_rate=1000.0))
     report(planner, 0, k6=0.5)
