--- a/tamarackhaven/_seen_load.py
+++ b/tamarackhaven/_seen_load.py
@@ -1,4 +1,4 @@
-"""What a daemon's target was asked for lately: how much, and which keys most."""
+"""Counts the recent requests to a daemon's target, and its hottest keys."""
 
 import threading
 
@@ -10,14 +10,14 @@
 
 @attrs.frozen
 class Load:
-    """What was seen since the last time it was asked for.
+    """The requests since the previous ``SeenLoad.take``.
 
     Parameters
     ----------
     admitted : int
         Requests that reached the gate.
     hot_keys : list of HotKey
-        Hottest first.
+        The hottest keys, hottest first.
     """
 
     admitted: int
@@ -25,12 +25,12 @@
 
 
 class SeenLoad:
-    """Counts the requests of one target; every method may be called from any thread.
+    """Counts the requests to one target; every method is thread-safe.
 
     Parameters
     ----------
     clock : Clock
-        For the decay of old counts.
+        Clock for the decay of old counts.
     """
 
     def __init__(self, clock):
@@ -46,7 +46,7 @@
             self._hot_keys.offer(key_hash, self._clock.boot_s())
 
     def take(self, hot_keys):
-        """Return the ``Load``, with at most ``hot_keys`` keys, and count anew."""
+        """Return the ``Load`` with at most ``hot_keys`` keys, and reset the count."""
         with self._lock:
             admitted, self._admitted = self._admitted, 0
             return Load(admitted, self._hot_keys.hottest(hot_keys))
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -1,79 +1,80 @@
-"""Whether the target beside a daemon is hung: it takes requests and says nothing.
+"""Detects that a daemon's target is hung: it accepts requests but sends nothing.
 
-Load: a target froze, or all its threads hang; it still takes connections.
-Harm: every request for its shards waits until its deadline, for as long as it hangs.
-Limit: silence of every kind for ``target_silent_s`` while requests are in flight; a
-straggler that answers anything, or still reports, is not given up.
+A target that is frozen, or whose threads all hang, still accepts connections. Every
+request for its shards then waits until its deadline, for as long as the target hangs.
+A target counts as hung once it has sent nothing at all for ``target_silent_s`` while
+requests are in flight; a slow target that answers any request or still reports
+doesn't.
 """
 
 
 class Silence:
-    """Hears the reports and answers of one target.
+    """Tracks when one target last reported or answered.
 
     Parameters
     ----------
     silent_s : float
-        Silence that is taken for a hang, in seconds; 0 for never.
+        Silence after which the target counts as hung, in seconds; 0 for never.
     lock : context manager
-        Held in each method, so that any thread may call them.
+        Held in each method, so that every method is thread-safe.
     """
 
     def __init__(self, silent_s, lock):
         self._silent_s = silent_s
         self._lock = lock
         self._in_flight = 0
-        self._reports = False
-        self._heard_s = 0.0
-        self._hung = False
+        self._has_reported = False
+        self._last_message_s = 0.0
+        self._is_hung = False
 
     @property
     def hung(self):
-        """Whether the target was found hung and has said nothing since."""
-        return self._hung
+        """Whether the target was found hung and has sent nothing since."""
+        return self._is_hung
 
     def began(self, now):
-        """Count a request that is sent to the target at ``now``, in seconds."""
+        """Record a request that is sent to the target at ``now``, in seconds."""
         with self._lock:
             if not self._in_flight:
-                self._heard_s = max(self._heard_s, now)
+                self._last_message_s = max(self._last_message_s, now)
             self._in_flight += 1
 
     def ended(self, answered, now):
-        """Count the end of a request; ``answered`` if the target answered it."""
+        """Record the end of a request, and whether the target ``answered`` it."""
         with self._lock:
             self._in_flight -= 1
             if answered:
-                self._hear(now)
+                self._record_message(now)
 
     def started(self, now):
-        """Take in that the target has started anew; it has not reported yet."""
+        """Record that the target has restarted and hasn't reported yet."""
         with self._lock:
-            self._reports = False
-            self._hear(now)
+            self._has_reported = False
+            self._record_message(now)
 
     def heard(self, now):
-        """Take in a word of the target that is no report."""
+        """Record a message of the target that isn't a report."""
         with self._lock:
-            self._hear(now)
+            self._record_message(now)
 
     def reported(self, now):
-        """Take in a report."""
+        """Record a report of the target."""
         with self._lock:
-            self._reports = True
-            self._hear(now)
+            self._has_reported = True
+            self._record_message(now)
 
     def check(self, now):
-        """Return whether the target is found hung at ``now``, which stays so.
+        """Return whether the target is hung at ``now``, in seconds, and record that.
 
-        A target that has never reported since its start can't be told from one that
-        is at long work, and is left to the deadlines of its requests.
+        A target that hasn't reported since its start can't be distinguished from one
+        that is busy with long requests, so only the deadlines of its requests apply.
         """
         with self._lock:
-            waiting = self._in_flight and self._reports and self._silent_s
-            if waiting and now - self._heard_s >= self._silent_s:
-                self._hung = True
-            return self._hung
+            waiting = self._in_flight and self._has_reported and self._silent_s
+            if waiting and now - self._last_message_s >= self._silent_s:
+                self._is_hung = True
+            return self._is_hung
 
-    def _hear(self, now):
-        self._heard_s = max(self._heard_s, now)
-        self._hung = False
+    def _record_message(self, now):
+        self._last_message_s = max(self._last_message_s, now)
+        self._is_hung = False
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of planned moves at the old owner."""
+"""Tests of planned moves on the side of the former owner."""
 
 import attrs
 import pytest
@@ -77,8 +77,8 @@
         return 5
 
 
-class Bench:
-    """A handover whose steps are taken one by one."""
+class HandoverBench:
+    """A handover whose steps are run one by one."""
 
     def __init__(self):
         self.events = []
@@ -94,14 +94,14 @@
 
 @pytest.fixture
 def bench():
-    return Bench()
+    return HandoverBench()
 
 
-def test_shard_is_released_after_its_last_request_and_its_ledger(bench):
+def test_shard_is_released_after_its_last_request_ended_and_its_ledger_was_sent(bench):
     """A shard moves while a request for it runs.
 
-    Released at once, the next owner would serve the key while the old one is still
-    at work on it; without the ledger it could not know bookings made here.
+    If it were released immediately, the next owner would serve the key while the former
+    one still works on it; without the ledger, it couldn't know bookings made here.
     """
     bench.daemon.running = 1
     bench.handover.step()
@@ -112,10 +112,10 @@
     assert bench.events == ["stop", "ledger", "release"]
 
 
-def test_nothing_is_released_without_the_lease(bench):
+def test_no_shard_is_released_without_the_lease(bench):
     """A process that just joined has an epoch but not yet the lease.
 
-    An earlier process of that name may still hold its own; a shard given away now
+    An earlier process with its name may still hold its own lease; a shard released now
     would have two owners.
     """
     bench.lease.held = False
@@ -123,7 +123,7 @@
     assert bench.events == ["stop"]
 
 
-def test_a_move_taken_back_before_the_release_reopens_the_shard(bench):
+def test_move_cancelled_before_the_release_resumes_the_shard(bench):
     bench.daemon.running = 1
     bench.handover.step()
     bench.view.grants = [attrs.evolve(MOVING, moving_to="")]
@@ -131,10 +131,10 @@
     assert bench.events == ["stop", "resume"]
 
 
-def test_a_release_of_unknown_outcome_never_reopens_the_shard(bench):
+def test_release_with_unknown_outcome_never_resumes_the_shard(bench):
     """The answer to a release is lost, and the map still shows the shard as owned.
 
-    It may be another target's by now. Only a newer grant may open it here.
+    Another target may already own it. Only a newer grant may resume it here.
     """
     bench.client.error = TamarackhavenError(ErrorKind.CHANGE_UNCONFIRMED)
     with pytest.raises(TamarackhavenError):
@@ -144,22 +144,22 @@
     assert "resume" not in bench.events
 
 
-def test_a_ledger_part_survives_the_way_to_the_next_owner():
-    """A booking ran at the old owner; its caller asks the new one again."""
-    old, new = Ledger(BookingSettings()), Ledger(BookingSettings())
-    old.adopt("s", 3, 7, 100.0)
+def test_booking_is_replayed_by_the_next_owner_from_the_ledger_part():
+    """A booking ran at the former owner, and its caller retries at the next one."""
+    former_owner, next_owner = Ledger(BookingSettings()), Ledger(BookingSettings())
+    former_owner.adopt("s", 3, 7, 100.0)
     booking = BookingTry("s", 3, 7, "key-1", b"\x00digest", 110.0, 600.0)
-    run = old.begin(booking, 110.0)
+    run = former_owner.begin(booking, 110.0)
     answer = BookingAnswer(201, (("Content-Type", "text/plain"),), b"\xff booked")
-    old.finish(run.token, BookingEnd.ANSWERED, answer, 111.0)
+    former_owner.finish(run.token, BookingEnd.ANSWERED, answer, 111.0)
     parts = ArrivedParts()
-    assert parts.take(encode_part(old.export("s", 3)))
-    assert new.import_(parts.pop("s", 3), 9, 7, 112.0)
-    again = new.begin(attrs.evolve(booking, grant=9), 113.0)
-    assert again == Replay(answer)
+    assert parts.take(encode_part(former_owner.export("s", 3)))
+    assert next_owner.import_(parts.pop("s", 3), 9, 7, 112.0)
+    replay = next_owner.begin(attrs.evolve(booking, grant=9), 113.0)
+    assert replay == Replay(answer)
     assert parts.pop("s", 3) is None
 
 
-def test_bytes_that_are_no_part_are_refused():
+def test_bytes_that_are_not_a_ledger_part_are_rejected():
     with pytest.raises(TamarackhavenError):
         decode_part(b"{}")
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Tests of a target that takes requests and says nothing."""
+"""Tests of the detection of a target that accepts requests and sends nothing."""
 
 import contextlib
 import threading
@@ -14,14 +14,15 @@
 SHARD = shard_of(hash_key("s", "k"), 4)
 
 # Steps of a target with a limit of 3 s: begin, answer, error (an end without an
-# answer), report, or start, each at a time; then the check's time and its result.
+# answer), report, start or check, each with its time in seconds; then the time of the
+# final check and its result.
 SESSIONS = {
     "hung": ("report 0, begin 1", 4.0, True),
     "not yet": ("report 0, begin 1", 3.9, False),
     "idle": ("report 0, begin 1, answer 2", 60.0, False),
     "idle for long, then asked": ("report 0, begin 50", 52.9, False),
-    "a straggler that still reports": ("report 0, begin 1, report 5", 7.9, False),
-    "a straggler that answers others": (
+    "slow, but still reports": ("report 0, begin 1, report 5", 7.9, False),
+    "slow, but answers other requests": (
         "report 0, begin 1, begin 2, answer 6",
         8.9,
         False,
@@ -30,15 +31,15 @@
     "never reported": ("begin 1", 60.0, False),
     "a new start has not reported": ("report 0, start 1, begin 2", 60.0, False),
     "back with a report": ("report 0, begin 1, check 5, report 6", 6.5, False),
-    "stays hung without a word": ("report 0, begin 1, check 5, error 6", 60.0, True),
+    "stays hung without a message": ("report 0, begin 1, check 5, error 6", 60.0, True),
 }
 
 
 @pytest.mark.parametrize("name", SESSIONS)
-def test_only_silence_of_every_kind_is_a_hang(name):
+def test_target_is_hung_only_if_it_sends_nothing(name):
     steps, check_s, expected = SESSIONS[name]
     silence = Silence(3.0, contextlib.nullcontext())
-    act_by_word = {
+    action_by_step = {
         "begin": silence.began,
         "answer": lambda now: silence.ended(True, now),
         "error": lambda now: silence.ended(False, now),
@@ -47,16 +48,16 @@
         "check": silence.check,
     }
     for step in steps.split(", "):
-        word, now = step.split()
-        act_by_word[word](float(now))
+        label, now = step.split()
+        action_by_step[label](float(now))
     assert silence.check(check_s) is expected
 
 
-def test_callers_of_a_hung_target_are_not_held_until_their_deadlines():
-    """A target hangs with a lookup and a booking; both have 20 s.
+def test_callers_of_a_hung_target_get_an_answer_before_their_deadlines():
+    """A target hangs with a lookup and a booking in flight, with deadlines of 20 s.
 
-    Once it is found hung the booking's caller hears "unknown" at once, and the lookup
-    is answered by the next owner. The booking is not tried anywhere else.
+    Once it is found hung, the booking's caller immediately gets the outcome "unknown",
+    and the next owner answers the lookup. The booking isn't retried at another target.
     """
     view, slow = FakeView(), StandinSettings(service_ms=60_000)
     first = Node(view, "t1", slow, forward_wait_ms=10_000, target_silent_s=3600.0)
@@ -65,13 +66,13 @@
     with running(first, second):
         first.own(SHARD)
         got, silence = {}, first.daemon.silence
-        asks = {
+        request_by_name = {
             "lookup": lambda: first.ask(**long),
             "booking": lambda: first.ask("POST", **booking("b", **long)),
         }
         threads = [
-            threading.Thread(target=lambda w=word, a=ask: got.update({w: a()}))
-            for word, ask in asks.items()
+            threading.Thread(target=lambda w=label, a=ask: got.update({w: a()}))
+            for label, ask in request_by_name.items()
         ]
         for thread in threads:
             thread.start()
@@ -90,7 +91,7 @@
         assert second.standin.target.counts()["executions"] == {}
 
 
-def test_a_target_that_was_given_up_is_taken_back_warm_but_a_new_one_is_cold():
+def test_hung_target_returns_with_its_gate_and_a_new_process_gets_a_new_one():
     node = Node(FakeView())
     with running(node):
         node.own(*range(4))
