--- a/tamarackhaven/_leader.py
+++ b/tamarackhaven/_leader.py
@@ -30,7 +30,7 @@
 REPLAN_INTERVAL_S = 5.0
 FAILED_STEP_PAUSE_S = 0.2
 COLD_WARMTH_FRACTION = 0.3
-REFUSALS_KEPT = 200
+MAX_REFUSALS = 200
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
         self._stopping = threading.Event()
         self._wake = threading.Event()
         self._thread = threading.Thread(target=self._run, name="leader", daemon=True)
-        self.refusals = DecisionRecord(REFUSALS_KEPT)
+        self.refusals = DecisionRecord(MAX_REFUSALS)
         self._refused = 0
         self._term = 0
         self._start_term()
@@ -125,7 +125,8 @@
         self._process_inbox(now)
         self._fence(now, status.membership.voters)
         self._retire_left_targets()
-        # Before placement, which must not move away pins that are being moved home.
+        # Before placement, which must not move away pins that are returning to their
+        # shard's owner.
         self._pin(now)
         self._place(now)
 
--- a/tamarackhaven/_lease_client.py
+++ b/tamarackhaven/_lease_client.py
@@ -195,20 +195,20 @@
             self.dropped += 1
             return
         if data != _WAKE_DATAGRAM:
-            self._received(decode(data))
+            self._process_message(decode(data))
 
-    def _received(self, message):
+    def _process_message(self, message):
         if isinstance(message, Ack):
-            self._acked(message)
+            self._process_ack(message)
         elif isinstance(message, Hint):
             self._notify_version(message.state_version)
         else:
             self.dropped += 1
 
-    def _acked(self, ack):
+    def _process_ack(self, ack):
         with self._lock:
             now = self._clock()
-            self._holder.acked(ack, now)
+            self._holder.process_ack(ack, now)
             if ack.reason is Reason.NOT_READY and not self._holder.holds(now):
                 # A control VM hasn't applied the epoch yet, or has just started.
                 # Waiting a whole round would leave a new target idle without need.
--- a/tamarackhaven/_lease_holder.py
+++ b/tamarackhaven/_lease_holder.py
@@ -137,13 +137,13 @@
         version = self._membership.version
         return Renewal(self.epoch, version, self._seq, self.draining)
 
-    def acked(self, ack, now):
+    def process_ack(self, ack, now):
         """Process one answer; duplicate, late and unrelated ones have no effect."""
         sent = self._sent_by_seq.get(ack.seq)
         if sent is None or sent.at > now:
             return
         self._record_state_version(ack, sent)
-        if ack.granted:
+        if ack.is_granted:
             self.refusal_by_voter.pop(sent.voter, None)
             self._count_grant(sent.voter, sent.at)
             return
--- a/tamarackhaven/_lease_promises.py
+++ b/tamarackhaven/_lease_promises.py
@@ -119,7 +119,7 @@
         """
         return now >= self._membership_settled_at_s
 
-    def renewal(self, renewal, now, view):
+    def answer_renewal(self, renewal, now, view):
         """Grant or refuse one renewal.
 
         Parameters
--- a/tamarackhaven/_lease_server.py
+++ b/tamarackhaven/_lease_server.py
@@ -79,7 +79,7 @@
         while not self._stopping.is_set():
             try:
                 data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
-                self._received(data, address)
+                self._process_datagram(data, address)
             except TimeoutError:
                 continue
             except OSError:
@@ -88,7 +88,7 @@
                 self.dropped += 1
                 _log.exception("lease renewal failed")
 
-    def _received(self, data, address):
+    def _process_datagram(self, data, address):
         renewal = decode(data)
         if not isinstance(renewal, Renewal):
             self.dropped += 1
@@ -96,7 +96,7 @@
         view = self._view_of(renewal.epoch)
         with self._lock:
             now = self._clock()
-            ack = self._promises.renewal(renewal, now, view)
+            ack = self._promises.answer_renewal(renewal, now, view)
             self._record_address(address, now)
             self.answers_by_reason[ack.reason] += 1
         self._socket.sendto(encode(ack), address)
--- a/tamarackhaven/_lease_wire.py
+++ b/tamarackhaven/_lease_wire.py
@@ -29,7 +29,7 @@
 
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-FORMAT = 2
+FORMAT_VERSION = 2
 MAX_DATAGRAM_BYTES = 1024
 MAX_INDEX = (1 << 48) - 1
 _INDEX_BYTES = 6
@@ -112,7 +112,7 @@
     remaining_ms: int = 0
 
     @property
-    def granted(self):
+    def is_granted(self):
         """Whether the control VM granted the renewal."""
         return self.reason is Reason.GRANTED
 
@@ -138,7 +138,7 @@
         If an index is larger than ``MAX_INDEX``.
     """
     kind, body = _ENCODERS[type(message)](message)
-    data = _HEAD.pack(FORMAT << _KIND_BITS | kind) + body
+    data = _HEAD.pack(FORMAT_VERSION << _KIND_BITS | kind) + body
     return data + _CRC.pack(zlib.crc32(data))
 
 
@@ -152,7 +152,10 @@
     if not _HEAD.size + _CRC.size < len(data) <= MAX_DATAGRAM_BYTES:
         return None
     checked_bytes, (crc,) = data[: -_CRC.size], _CRC.unpack(data[-_CRC.size :])
-    if crc != zlib.crc32(checked_bytes) or checked_bytes[0] >> _KIND_BITS != FORMAT:
+    if (
+        crc != zlib.crc32(checked_bytes)
+        or checked_bytes[0] >> _KIND_BITS != FORMAT_VERSION
+    ):
         return None
     decoder = _DECODERS.get(checked_bytes[0] & (1 << _KIND_BITS) - 1)
     if decoder is None:
@@ -183,7 +186,7 @@
 
 def _encode_ack(ack):
     version = _encode_index(ack.state_version)
-    if ack.granted:
+    if ack.is_granted:
         return _Kind.GRANT, _GRANT.pack(version, ack.seq)
     remaining_ms = min(ack.remaining_ms, _MAX_REMAINING_MS)
     return _Kind.REFUSAL, _REFUSAL.pack(version, ack.seq, ack.reason, remaining_ms)
--- a/tamarackhaven/_pins.py
+++ b/tamarackhaven/_pins.py
@@ -11,10 +11,10 @@
 from tamarackhaven._changes import PinKey, ShardMove, UnpinKey
 from tamarackhaven._keys import shard_of
 
-STALE_S = 90.0
+MAX_REPORT_AGE_S = 90.0
 """Age above which reports are ignored; they arrive a few times a minute."""
 
-HALF_LIFE_S = 30.0
+REPORT_HALF_LIFE_S = 30.0
 """Age at which a report counts half, because hot keys change within minutes."""
 
 
@@ -41,7 +41,7 @@
 @attrs.frozen
 class _Received:
     report: object
-    now: float
+    received_at_s: float
 
 
 class PinPlanner:
@@ -58,17 +58,17 @@
     def __init__(self, settings):
         self.settings = settings
         self._received_by_target = {}
-        self._seen_at_by_pin = {}
+        self._seen_at_s_by_pin = {}
 
     def report(self, report, now):
         """Process a ``LoadReport`` that arrived at ``now``, in seconds.
 
         A report of an older epoch comes from a replaced process and is ignored.
         """
-        place = report.service, report.target
-        known = self._received_by_target.get(place)
+        target_id = report.service, report.target
+        known = self._received_by_target.get(target_id)
         if known is None or report.epoch >= known.report.epoch:
-            self._received_by_target[place] = _Received(report, now)
+            self._received_by_target[target_id] = _Received(report, now)
 
     def shares(self, service, now):
         """Return the load of each reported key, as a fraction of a target's mean load.
@@ -93,7 +93,7 @@
             report = received.report
             if report.service != service.name:
                 continue
-            rate = report.requests_per_s * _age_weight(now - received.now)
+            rate = report.requests_per_s * _age_weight(now - received.received_at_s)
             rates.append(rate)
             for hot in report.hot_keys:
                 known = rate_by_key.get(hot.key_hash, 0.0)
@@ -165,27 +165,27 @@
         Without any recent report the pin stays: otherwise a leader that has just been
         elected would unpin every key.
         """
-        seen_at = self._seen_at_by_pin[pin.service, pin.key_hash]
-        has_min_age = now - seen_at >= self.settings.pin_hold_s
+        seen_at_s = self._seen_at_s_by_pin[pin.service, pin.key_hash]
+        has_min_age = now - seen_at_s >= self.settings.pin_hold_s
         share = share_by_key.get(pin.key_hash, 0.0)
         return bool(share_by_key) and has_min_age and share < self.settings.unpin_share
 
     def _track_pins(self, service, pins, now):
-        present = {(pin.service, pin.key_hash) for pin in pins}
-        for place in list(self._seen_at_by_pin):
-            if place[0] == service.name and place not in present:
-                del self._seen_at_by_pin[place]
-        for place in present:
-            self._seen_at_by_pin.setdefault(place, now)
+        current_pins = {(pin.service, pin.key_hash) for pin in pins}
+        for pin_id in list(self._seen_at_s_by_pin):
+            if pin_id[0] == service.name and pin_id not in current_pins:
+                del self._seen_at_s_by_pin[pin_id]
+        for pin_id in current_pins:
+            self._seen_at_s_by_pin.setdefault(pin_id, now)
 
     def _forget_stale(self, now):
-        for place, received in list(self._received_by_target.items()):
-            if now - received.now > STALE_S:
-                del self._received_by_target[place]
+        for target_id, received in list(self._received_by_target.items()):
+            if now - received.received_at_s > MAX_REPORT_AGE_S:
+                del self._received_by_target[target_id]
 
 
 def _age_weight(age_s):
-    return 0.5 ** (max(0.0, age_s) / HALF_LIFE_S)
+    return 0.5 ** (max(0.0, age_s) / REPORT_HALF_LIFE_S)
 
 
 def _pin_change(service, key, share):
--- a/tamarackhaven/_plan.py
+++ b/tamarackhaven/_plan.py
@@ -54,7 +54,7 @@
         Targets that are about to stop accepting work although they own shards.
     fixed_shards : frozenset of int
         Shards that must not move for balance or as hot keys, such as pinned keys that
-        are about to be unpinned: they would be moved away and home again and again.
+        are about to be unpinned: they would otherwise move away and back repeatedly.
     """
 
     service: Service
@@ -92,8 +92,8 @@
     holds : list of Hold
         At most one for each cause, for ``explain``.
     imbalance_before, imbalance_after : float
-        Largest excess over the mean load, as a fraction of the mean, once all moves
-        have ended.
+        Largest excess over the mean load, as a fraction of the mean (1 for twice the
+        mean), once all moves have ended.
     """
 
     service: str
--- a/tamarackhaven/_target_loads.py
+++ b/tamarackhaven/_target_loads.py
@@ -3,7 +3,7 @@
 import heapq
 import math
 
-MIN_WARMTH = 0.05
+MIN_WARMTH_FRACTION = 0.05
 """Minimum warmth that is assumed: a target warms only under load, so it needs some."""
 
 
@@ -21,7 +21,8 @@
     total : float
         Load of all shards of the service, in any unit.
     slack : float
-        Excess over the mean load, as a fraction of the mean, that is tolerated.
+        Tolerated excess over the mean load, as a fraction of the mean; 1 for twice
+        the mean.
     """
 
     def __init__(self, members, warmth_by_target, total, slack):
@@ -70,7 +71,7 @@
         return self.load_by_target[target] / self.weight_by_target[target]
 
     def excess(self, target):
-        """Return the excess over the mean load, as a fraction of the mean.
+        """Return the excess over the mean load; 1 is an excess of the whole mean.
 
         This uses the full capacity also for a cold target: a target is cold for seconds
         only, its gate refuses the excess, and moving shards away and back would cost
@@ -165,4 +166,4 @@
 
 
 def _clip(warmth):
-    return min(1.0, max(MIN_WARMTH, warmth))
+    return min(1.0, max(MIN_WARMTH_FRACTION, warmth))
--- a/tests/lease_scenarios.py
+++ b/tests/lease_scenarios.py
@@ -162,7 +162,7 @@
 
 
 def owner_and_second_vm_lost_after_repair(sim):
-    """A VM is lost and replaced; then another VM and an owner are lost at once."""
+    """A VM is lost and replaced; then another VM and an owner are lost together."""
     sim.kill(sim.controls["c2"], 60.0)
     sim.run(sim.now + 1.0)
     sim.change_membership(lambda names: names[0])
--- a/tests/lease_simulation.py
+++ b/tests/lease_simulation.py
@@ -265,9 +265,12 @@
             (SERVICE, target) if is_newest else None,
             is_newest and renewal.epoch in node.region.retired,
         )
-        ack = node.promises.renewal(renewal, self.clock(node), view)
+        ack = node.promises.answer_renewal(renewal, self.clock(node), view)
         self.send(
-            node, daemon, ack, lambda a: daemon.holder.acked(a, self.clock(daemon))
+            node,
+            daemon,
+            ack,
+            lambda a: daemon.holder.process_ack(a, self.clock(daemon)),
         )
 
     # The leader and its log.
--- a/tests/test_lease_promises.py
+++ b/tests/test_lease_promises.py
@@ -34,24 +34,24 @@
     reason, renewal, view, remaining_ms
 ):
     promises = LeasePromises(SETTINGS, -9.0, {("s", "t"): 3})
-    promises.renewal(RENEWAL, 0.0, attrs.evolve(VIEW, target=PROMISED_TARGET))
+    promises.answer_renewal(RENEWAL, 0.0, attrs.evolve(VIEW, target=PROMISED_TARGET))
     changed_renewal, changed_view = (
         attrs.evolve(RENEWAL, **renewal),
         attrs.evolve(VIEW, **view),
     )
-    ack = promises.renewal(changed_renewal, 0.25, changed_view)
+    ack = promises.answer_renewal(changed_renewal, 0.25, changed_view)
     assert (ack.reason, ack.remaining_ms) == (reason, remaining_ms)
 
 
 def test_restarted_or_new_voter_neither_grants_nor_fences_for_a_promise_time():
     """It may have made promises of which it has no record."""
     promises = LeasePromises(SETTINGS, 0.0, {("s", "t"): 3})
-    assert promises.renewal(RENEWAL, 0.25, VIEW).reason is Reason.NOT_READY
+    assert promises.answer_renewal(RENEWAL, 0.25, VIEW).reason is Reason.NOT_READY
     assert promises.fence("s", "t", 5, 0.25) == Fenced(False, 250)
     assert promises.fence("s", "t", 3, 0.25) == Fenced(True)  # was durable before
-    assert promises.renewal(RENEWAL, 0.5, VIEW).granted
+    assert promises.answer_renewal(RENEWAL, 0.5, VIEW).is_granted
     promises.joined(1.0)
-    assert promises.renewal(RENEWAL, 1.25, VIEW).reason is Reason.NOT_READY
+    assert promises.answer_renewal(RENEWAL, 1.25, VIEW).reason is Reason.NOT_READY
     assert not promises.ready_for_membership_change(0.25)
     assert promises.ready_for_membership_change(0.5)
 
@@ -63,7 +63,7 @@
     before its first renewal.
     """
     promises = LeasePromises(SETTINGS, -9.0)
-    promises.renewal(RENEWAL, 0.0, VIEW)
+    promises.answer_renewal(RENEWAL, 0.0, VIEW)
     assert promises.promise_end("s", "t", 5) == 0.5
     assert promises.promise_end("s", "t", 6) is None
     assert promises.fence("s", "t", 6, 0.25) == Fenced(False, 250)
@@ -81,12 +81,12 @@
             renewals = holder.renew(sent)
             for name in "ab":
                 ack = Ack(renewals[name].seq, Reason.GRANTED, version)
-                holder.acked(ack, sent + 0.1)
+                holder.process_ack(ack, sent + 0.1)
         assert holder.held_until == second + 0.75
         assert holder.confirmed_at < second
         holder.set_state_version(second)
         assert holder.confirmed_at == second
     assert (holder.seen_state_version, holder.lost(5.0)) == (5, LeaseLoss.EXPIRED)
-    holder.acked(Ack(renewals["c"].seq, Reason.FENCED, 4), 5.0)
+    holder.process_ack(Ack(renewals["c"].seq, Reason.FENCED, 4), 5.0)
     assert holder.renew(5.0) == {}
     assert holder.must_rejoin is Reason.FENCED
--- a/tests/test_lease_proof.py
+++ b/tests/test_lease_proof.py
@@ -54,11 +54,11 @@
 
 
 class LeaseCountedFromAnswer(LeaseHolder):
-    def acked(self, ack, now):
+    def process_ack(self, ack, now):
         if ack.seq in self._sent_by_seq:
             sent = self._sent_by_seq[ack.seq]
             self._sent_by_seq[ack.seq] = attrs.evolve(sent, at=now)
-        super().acked(ack, now)
+        super().process_ack(ack, now)
 
 
 class AnyVoter(LeaseHolder):
@@ -77,12 +77,12 @@
 
 
 class OldMembershipAccepted(LeasePromises):
-    def renewal(self, renewal, now, view):
+    def answer_renewal(self, renewal, now, view):
         version = renewal.membership_version
         seen = attrs.evolve(
             view, membership_version=min(view.membership_version, version)
         )
-        return super().renewal(renewal, now, seen)
+        return super().answer_renewal(renewal, now, seen)
 
 
 class FenceDespitePromise(LeasePromises):
@@ -92,18 +92,18 @@
 
 
 class ClaimedNameGranted(LeasePromises):
-    def renewal(self, renewal, now, view):
+    def answer_renewal(self, renewal, now, view):
         promise = self._promise_by_target.get(view.target)
         if promise is not None and promise.epoch < renewal.epoch:
             del self._promise_by_target[view.target]
-        return super().renewal(renewal, now, view)
+        return super().answer_renewal(renewal, now, view)
 
 
 class UnknownEpochGranted(LeasePromises):
-    def renewal(self, renewal, now, view):
+    def answer_renewal(self, renewal, now, view):
         if view.target is None and renewal.epoch > view.state_version:
             view = attrs.evolve(view, target=("unknown", str(renewal.epoch)))
-        return super().renewal(renewal, now, view)
+        return super().answer_renewal(renewal, now, view)
 
 
 MUTANTS = {
