--- a/tamarackhaven/_lease_server.py
+++ b/tamarackhaven/_lease_server.py
@@ -97,11 +97,11 @@
         with self._lock:
             now = self._clock()
             ack = self._promises.answer_renewal(renewal, now, view)
-            self._record_address(address, now)
+            self._note_address(address, now)
             self.answers_by_reason[ack.reason] += 1
         self._socket.sendto(encode(ack), address)
 
-    def _record_address(self, address, now):
+    def _note_address(self, address, now):
         """Record an address for hints, bounded so that no flood can exhaust memory."""
         known = self._renewed_at_by_address
         if address in known or len(known) < _MAX_ADDRESSES:
