--- a/tamarackhaven/_lease_promises.py
+++ b/tamarackhaven/_lease_promises.py
@@ -101,7 +101,10 @@
         self._membership_settled_at_s = boot_now + self._promise_s
 
     def joined(self, now):
-        """Treat every target as promised for a promise time, after becoming a voter."""
+        """Treat every target as promised, as a new voter has no record of promises.
+
+        This lasts for a promise time.
+        """
         self._unknown_until_s = max(self._unknown_until_s, now + self._promise_s)
 
     def membership_changed(self, now):
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -64,7 +64,7 @@
             self._record_message(now)
 
     def check(self, now):
-        """Return whether the target is hung at ``now``, in seconds, and record that.
+        """Return whether the target is hung at ``now``, in seconds; a hang is kept.
 
         A target that hasn't reported since its start can't be distinguished from one
         that is busy with long requests, so only the deadlines of its requests apply.
--- a/tests/test_lease_proof.py
+++ b/tests/test_lease_proof.py
@@ -229,7 +229,10 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.fault.__name__)
 def test_shards_have_an_owner_again_within_the_bound(scenario):
-    """A healthy owner keeps its lease and a lost one is replaced within the bound."""
+    """A healthy owner keeps its lease and a lost one is replaced within the bound.
+
+    ``run_scenario`` also checks that no shard has two owners.
+    """
     runs = [run_scenario(scenario, seed) for seed in range(8)]
     assert max(run.longest_s for run in runs) <= scenario.bound_s
     assert scenario.bound_s or not any(run.rejoined for run in runs)
