--- a/tamarackhaven/_members.py
+++ b/tamarackhaven/_members.py
@@ -1,22 +1,22 @@
-"""The members of the consensus group, as the replicated log has them."""
+"""Membership of the consensus group, as the replicated log records it."""
 
 import attrs
 
 
 @attrs.frozen
 class Member:
-    """One member.
+    """One member of the consensus group.
 
     Parameters
     ----------
     name : str
-        Its name; a VM whose disk was lost comes back under a new one.
+        Unique name; a VM whose disk was lost has to rejoin under a new name.
     host : str
         IP address.
     port, lease_port : int
         TCP port for calls, UDP port for lease renewals.
     voter : bool
-        False while it is a learner that still catches up.
+        False while it is a learner that is still catching up.
     """
 
     name: str
@@ -28,14 +28,14 @@
 
 @attrs.frozen
 class Membership:
-    """All members; ``version`` is the index of its log entry, 0 for the first one."""
+    """All members; ``version`` is the index of its log entry, 0 initially."""
 
     members: tuple[Member, ...]
     version: int = 0
 
     @property
     def by_name(self):
-        """Members by name."""
+        """Members by their names."""
         return {member.name: member for member in self.members}
 
     @property
@@ -45,13 +45,13 @@
 
     @property
     def quorum(self):
-        """Number of voters that make a majority."""
+        """Number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
 
 @attrs.frozen
 class Step:
-    """One change of membership: ``action`` is add, promote or remove."""
+    """One membership change; ``action`` is add, promote or remove."""
 
     action: str
     member: Member
--- a/tamarackhaven/_raft.py
+++ b/tamarackhaven/_raft.py
@@ -1,4 +1,4 @@
-"""One member of the consensus group as a pure state machine (Raft).
+"""Raft state machine of one member of the consensus group, without input or output.
 
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
 (2014), and Ongaro's thesis for pre-vote, check-quorum, learners and read index.
@@ -33,19 +33,19 @@
 
 
 class Role(enum.Enum):
-    """What a member is at the moment."""
+    """Present role of a member in its consensus group."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
-    LEARNER = "learner"  # has no vote, or is no member
+    LEARNER = "learner"  # has no vote, or isn't a member
 
 
 class Raft:
-    """One member.
+    """Raft state machine of one member.
 
-    Each method takes the time and returns an ``Output``, which the driver carries
-    out in full and in order before it sends anything of a later one.
+    Each method takes the time and returns an ``Output``. The driver processes it
+    completely and in order before it sends any message of a later output.
 
     Parameters
     ----------
@@ -56,13 +56,13 @@
     hard_state : HardState
         As recovered from storage.
     snapshot : Snapshot
-        As recovered; index 0 with the first membership at a fresh start.
+        As recovered; index 0 with the initial membership at a first start.
     entries : sequence of Entry
         The entries after the snapshot, as recovered.
     now : float
-        Time in seconds; any origin.
+        Time in seconds, from any origin.
     rng : random.Random
-        For the election timeouts; ``random()`` only.
+        Randomizes the election timeouts; only ``random()`` is called.
     """
 
     def __init__(self, name, settings, hard_state, snapshot, entries, now, rng):
@@ -77,11 +77,11 @@
         self._receiver = _raft_follower.SnapshotReceiver()
         self._start_election_timer()
 
-    # What others may see.
+    # Public state.
 
     @property
     def role(self):
-        """The member's ``Role``."""
+        """Present ``Role`` of this member."""
         if self._leadership:
             return Role.LEADER
         if not self._is_voter:
@@ -90,12 +90,12 @@
 
     @property
     def leader(self):
-        """Name of the leader, empty if none is known."""
+        """Name of the leader, or empty if none is known."""
         return self._core.leader
 
     @property
     def term(self):
-        """The present term."""
+        """Current term."""
         return self._core.term
 
     @property
@@ -110,7 +110,7 @@
 
     @property
     def membership(self):
-        """The membership in effect, committed or not."""
+        """Membership in effect, committed or not."""
         return self._core.log.membership
 
     @property
@@ -119,14 +119,14 @@
         return self._core.log.snapshot.index
 
     def snapshot_at(self, index, data):
-        """Return the ``Snapshot`` of state ``data``, applied up to ``index``."""
+        """Return a ``Snapshot`` of the state ``data``, applied up to ``index``."""
         log = self._core.log
         return Snapshot(index, log.term_at(index), log.membership_at(index), data)
 
     # Inputs.
 
     def tick(self, now):
-        """Let time pass: heartbeats, check-quorum, elections."""
+        """Run what is due at ``now``: heartbeats, check-quorum, elections."""
         self._now = now
         if self._leadership:
             if not self._leadership.tick(now):
@@ -136,7 +136,7 @@
         return self._take()
 
     def step(self, message, now):
-        """Take in one message of another member."""
+        """Handle one message from another member."""
         self._now = now
         if message.receiver == self._core.name and self._is_timely(message):
             self._on(message)
@@ -148,33 +148,38 @@
         Returns
         -------
         tuple of (int, int, Output)
-            Index and term of the entry; committed only if exactly these come back.
+            Index and term of the entry. It is committed only once an entry with
+            both the same index and the same term is committed.
 
         Raises
         ------
         TamarackhavenError
-            NO_QUORUM if this member does not lead.
+            NO_QUORUM if this member isn't the leader.
         """
         self._now = now
         index = self._lead().propose(command)
         return index, self._core.term, self._take()
 
     def change_membership(self, step, now):
-        """Append one membership change, in effect at once; as ``propose``.
+        """Append one membership change, which is in effect at once; see ``propose``.
 
         Raises
         ------
         TamarackhavenError
-            NO_QUORUM if this member does not lead; MEMBERSHIP_BUSY while another
-            change is open or a learner has not caught up; ALREADY_EXISTS, NOT_FOUND
-            or INVALID_RESOURCE for a step that makes no sense.
+            NO_QUORUM if this member isn't the leader; MEMBERSHIP_BUSY while another
+            change is uncommitted or a learner hasn't caught up; ALREADY_EXISTS,
+            NOT_FOUND or INVALID_RESOURCE if the step doesn't fit the membership.
         """
         self._now = now
         index = self._lead().change_membership(step)
         return index, self._core.term, self._take()
 
     def read(self, token, now):
-        """Ask for the index that a linearizable read has to wait for."""
+        """Request the index that a linearizable read has to wait for.
+
+        The output of this or a later input holds ``token`` in ``reads`` or in
+        ``dropped_reads``.
+        """
         self._now = now
         if self._leadership:
             self._leadership.read(token, now)
@@ -183,7 +188,7 @@
         return self._take()
 
     def persisted(self, output_writes, now):
-        """Take note that ``output_writes`` are synced."""
+        """Record that ``output_writes`` are synced to disk."""
         self._now = now
         for write in output_writes:
             note_synced(write, self._core)
@@ -192,7 +197,7 @@
         return self._take()
 
     def compacted(self, snapshot):
-        """Replace the log up to a snapshot of applied state."""
+        """Replace the log up to ``snapshot``, which holds the applied state."""
         core = self._core
         if snapshot.index > core.log.snapshot.index:
             core.log.compact(snapshot, core.settings.snapshot_entries // KEPT_PART)
@@ -208,7 +213,7 @@
             raise TamarackhavenError(ErrorKind.NO_QUORUM, f"leader: {leader}", 0.1)
         return self._leadership
 
-    # Roles.
+    # Role changes.
 
     @property
     def _is_voter(self):
@@ -219,11 +224,12 @@
         return self._leadership is not None or heard_lately
 
     def _start_election_timer(self):
-        """Wait for a first election.
+        """Set the election timeout after a start, which may be shorter than later ones.
 
-        Load: all members start at once, and nobody leads. Harm: everything waits for a
-        whole election timeout although there is no leader that could be late. Limit:
-        where one does lead, the others hear it and refuse the pre-vote.
+        When all members start at once there is no leader whose heartbeat could be
+        late, and a full election timeout would only delay the first election. If
+        there is a leader, the other members receive its heartbeats and refuse the
+        pre-vote.
         """
         settings = self._core.settings
         first_s = (settings.first_election_ms or settings.election_ms) / 1000
@@ -234,7 +240,7 @@
         self._election_due = self._now + wait
 
     def _follow(self, leader):
-        """Stop leading or standing for election."""
+        """Become a follower of ``leader``; end a leadership or a candidacy."""
         if self._leadership:
             self._leadership.stop()
             self._leadership = None
@@ -270,16 +276,16 @@
         self._leadership = Leader(self._core, self._now)
 
     def _stop_if_removed(self):
-        """Stop leading once the own removal is committed."""
+        """Stop leading once this member's own removal is committed."""
         core = self._core
         if core.log.membership_index > core.commit or self._is_voter:
             return
         self._follow(leader="")
 
-    # Terms.
+    # Term checks.
 
     def _is_timely(self, message):
-        """Bring the term up to date; tell whether the message counts in it."""
+        """Adopt a newer term; return whether the message is to be handled."""
         if isinstance(message, PreVote):
             return True
         if isinstance(message, PreVoteReply) and message.accepted:
@@ -292,9 +298,9 @@
         return True
 
     def _is_newer_term_welcome(self, message):
-        # Failure: a member that doesn't hear the leader, or was removed, asks for
-        # votes. Symptom: it deposes a leader that a quorum hears, again and again.
-        # Enough: a member that hears the leader takes no part, and leaves the term.
+        # A member that doesn't receive the leader's heartbeats, or was removed, keeps
+        # requesting votes and would repeatedly depose a leader that a quorum follows.
+        # So a member with recent leader contact ignores the request and its term.
         if isinstance(message, Vote) and self._hears_leader():
             return False
         is_leader = isinstance(message, Append | InstallSnapshot)
@@ -302,7 +308,7 @@
         return True
 
     def _refuse_old_term(self, message):
-        """Tell a leader of an older term that it is none any more."""
+        """Refuse a message of an older term; the reply holds the current one."""
         core = self._core
         if isinstance(message, Append | InstallSnapshot):
             core.send(
@@ -318,17 +324,17 @@
         elif isinstance(message, Vote):
             self._reply_vote(VoteReply, message, False, core.term)
 
-    # Messages.
+    # Message handlers.
 
     @functools.singledispatchmethod
     def _on(self, message):
-        raise TypeError(f"no message of consensus: {type(message).__name__}")
+        raise TypeError(f"unknown consensus message type {type(message).__name__}")
 
     @_on.register
     def _(self, message: PreVote):
-        # Failure: a member cut off for long starts elections that nobody hears.
-        # Symptom: it returns with a higher term and deposes a leader that works.
-        # Enough: it raises its term only after a quorum heard no leader either.
+        # A partitioned member would raise its term with every failed election, and on
+        # its return depose a working leader. With pre-votes it raises its term only
+        # after a quorum has confirmed that it has no leader contact either.
         core = self._core
         accepted = (
             message.term > core.term
@@ -387,7 +393,7 @@
             self._receiver.on_piece(self._core, message)
 
     def _hear(self, message):
-        """Note the leader of the term; false for a message that claims to be ours."""
+        """Record the sender as leader; return false if this member itself leads."""
         if self._leadership:
             return False
         self._heard_at = self._now
--- a/tamarackhaven/_raft_core.py
+++ b/tamarackhaven/_raft_core.py
@@ -1,4 +1,4 @@
-"""What a member of the consensus group has in every role."""
+"""State of a consensus member that all roles share."""
 
 import functools
 
@@ -15,11 +15,11 @@
     settings : RaftSettings
         Timings and sizes.
     hard_state : HardState
-        What storage holds.
+        As recovered from storage.
     log : RaftLog
-        What storage holds.
+        As recovered from storage.
     outbox : Outbox
-        Takes what is to be written, sent and applied.
+        Collects what is to be written, sent and applied.
     """
 
     def __init__(self, name, settings, hard_state, log, outbox):
@@ -35,49 +35,49 @@
 
     @property
     def heartbeat_s(self):
-        """Time between heartbeats, in seconds."""
+        """Interval between heartbeats, in seconds."""
         return self.settings.heartbeat_ms / 1000
 
     @property
     def election_s(self):
-        """Shortest time without a leader before an election, in seconds."""
+        """Minimum election timeout, in seconds."""
         return self.settings.election_ms / 1000
 
     @property
     def hard_state(self):
-        """The term and vote to be kept."""
+        """Term and vote, which have to be durable."""
         return HardState(self.term, self.vote)
 
     @property
     def voters(self):
-        """Names of the voters in effect."""
+        """Names of the voters in the membership in effect."""
         return self.log.membership.voters
 
     @property
     def quorum(self):
-        """Number of voters that make a majority."""
+        """Number of voters in a majority."""
         return self.log.membership.quorum
 
     def send(self, message):
-        """Send a message after the writes of this output are synced."""
+        """Queue a message, which is sent after the writes of this output are synced."""
         self.outbox.messages.append(message)
 
     def commit_to(self, index):
-        """Commit all entries up to ``index``."""
+        """Commit all entries up to ``index``; ignored if they are committed already."""
         if index <= self.commit:
             return
         self.outbox.committed.extend(self.log.between(self.commit + 1, index))
         self.commit = index
 
     def note_synced(self, index, term):
-        """Note that entry ``index`` is synced, unless it was replaced meanwhile."""
+        """Record that entry ``index`` is synced, unless it was replaced meanwhile."""
         if self.log.term_at(index) == term:
             self.synced_index = max(self.synced_index, index)
 
 
 @functools.singledispatch
 def note_synced(_write, _core):
-    """Count what a write made durable; a term or vote makes no entry durable."""
+    """Record the entries that a write made durable; a term or vote holds none."""
 
 
 @note_synced.register
--- a/tamarackhaven/_raft_election.py
+++ b/tamarackhaven/_raft_election.py
@@ -1,17 +1,17 @@
-"""One election, first as a pre-vote and then for real (Raft thesis, 9.6)."""
+"""One election round, either a pre-vote or a vote (Raft thesis, 9.6)."""
 
 from tamarackhaven._raft_messages import PreVote, Vote
 
 
 class Election:
-    """Counts the answers of voters.
+    """Requests the votes of one round and counts them.
 
     Parameters
     ----------
     core : Core
-        The candidate; its own answer counts at once.
+        The candidate, which counts its own vote at once.
     is_pre_vote : bool
-        Whether the term is still untouched.
+        Whether this is the pre-vote round, which doesn't raise the term.
     """
 
     def __init__(self, core, is_pre_vote):
@@ -21,17 +21,17 @@
 
     @property
     def term(self):
-        """The term that is asked for."""
+        """Term in which the candidate would lead."""
         return self._core.term + 1 if self.is_pre_vote else self._core.term
 
     @property
     def is_won(self):
-        """Whether a majority of the voters in effect has accepted."""
+        """Whether a majority of the present voters has accepted."""
         votes = self._accepted.intersection(self._core.voters)
         return len(votes) >= self._core.quorum
 
     def ask(self):
-        """Ask all other voters."""
+        """Send a vote request to all other voters."""
         core = self._core
         kind = PreVote if self.is_pre_vote else Vote
         for voter in core.voters:
@@ -48,6 +48,6 @@
             )
 
     def count(self, reply):
-        """Count one answer."""
+        """Count one reply."""
         if reply.accepted:
             self._accepted.add(reply.sender)
--- a/tamarackhaven/_raft_follower.py
+++ b/tamarackhaven/_raft_follower.py
@@ -1,4 +1,4 @@
-"""How a member takes in entries and snapshots from the leader of its term."""
+"""Follower side of replication: entries and snapshots from the leader of the term."""
 
 from tamarackhaven._raft_messages import (
     AppendReply,
@@ -10,7 +10,7 @@
 
 
 def on_append(core, message):
-    """Take in entries if they fit the log; answer either way."""
+    """Append entries if the log matches at their predecessor; reply in any case."""
     if message.last_index < core.commit:
         message_entries = _after(message.entries, core.commit)
     elif core.log.term_at(message.last_index) != message.last_term:
@@ -26,7 +26,7 @@
 
 
 def _after(entries, index):
-    """Drop the entries up to ``index``, which are committed and so equal."""
+    """Return the entries after ``index``; earlier ones are committed and identical."""
     return tuple(entry for entry in entries if entry.index > index)
 
 
@@ -52,14 +52,14 @@
 
 
 class SnapshotReceiver:
-    """Puts the pieces of one snapshot together."""
+    """Assembles a snapshot from its chunks."""
 
     def __init__(self):
         self._key = None
         self._data = bytearray()
 
     def on_piece(self, core, message):
-        """Take in one piece; install the snapshot once it is whole."""
+        """Store one chunk; install the snapshot once it is complete."""
         if message.last_index <= core.commit:
             self._reply(core, message, match_index=core.commit)
             return
--- a/tamarackhaven/_raft_leader.py
+++ b/tamarackhaven/_raft_leader.py
@@ -1,4 +1,4 @@
-"""What a leader does in one term: replicate, commit, confirm that it still leads."""
+"""Leader side of one term: replication, commit, and proof that it still leads."""
 
 from tamarackhaven import _codec, _raft_membership
 from tamarackhaven._members import Membership
@@ -22,14 +22,14 @@
 
 
 class Leader:
-    """One term of leadership.
+    """Leadership of one member in one term.
 
     Parameters
     ----------
     core : Core
         The leading member.
     now : float
-        Time of the election's end, in seconds.
+        Time at which the election was won, in seconds.
     """
 
     def __init__(self, core, now):
@@ -44,12 +44,13 @@
         self._append(EntryKind.EMPTY, b"")
 
     def tick(self, now):
-        """Send heartbeats that are due; tell whether a quorum was heard of late."""
+        """Send due heartbeats; return whether a quorum has replied recently."""
         self._now = now
         self._note_stall()
-        # Failure: a leader hears no quorum, for a one-way cut or a partition.
-        # Symptom: it would accept changes that never commit while another leads.
-        # Enough: others elect only after the same time, so it has stopped by then.
+        # A leader that gets no replies from a quorum, because of a partition or a
+        # one-way network failure, would accept changes that never commit while
+        # another member leads. It stops after an election timeout; the others start
+        # an election only after the same time.
         if not self._hears_quorum():
             return False
         if now >= self._heartbeat_due:
@@ -57,10 +58,10 @@
         return True
 
     def _note_stall(self):
-        # Load: a sync that takes longer than an election timeout. Harm: a leader that
-        # stood still sent nothing that could be answered, and would give up the lead
-        # for its own silence. Limit: one election timeout from its waking on; if
-        # another leads by then, the first answer says so.
+        # A sync that takes longer than an election timeout stalls the leader. It sends
+        # nothing meanwhile, so it gets no replies, and would step down because of its
+        # own pause. It gets one election timeout from its resumption on; if another
+        # member leads by then, the first reply says so.
         if self._now - self._ticked_at > self._core.election_s / 2:
             self._awake_since = self._now
         self._ticked_at = self._now
@@ -71,7 +72,7 @@
         return self._now - since <= self._core.election_s
 
     def _quorum_value(self, own, of_progress):
-        """Return the largest value that a quorum of voters reaches."""
+        """Return the largest value that a quorum of voters has reached."""
         core = self._core
         values = [
             own if name == core.name else of_progress(self._progress[name])
@@ -79,10 +80,10 @@
         ]
         return quorum_value(values, core.quorum)
 
-    # Entries.
+    # Log entries.
 
     def propose(self, command):
-        """Append a change; return its index."""
+        """Append a change and return its index."""
         return self._append(EntryKind.CHANGE, command)
 
     def _append(self, kind, command):
@@ -94,7 +95,7 @@
         return entry.index
 
     def change_membership(self, step):
-        """Append a membership change; return its index."""
+        """Append a membership change and return its index."""
         core = self._core
         self._refuse_second_change()
         progress = self._progress.get(step.member.name)
@@ -110,17 +111,21 @@
         return self._append(EntryKind.MEMBERSHIP, _codec.dumps(membership, Membership))
 
     def _refuse_second_change(self):
-        # Failure: two changes are open at once, or one from an earlier term may be.
-        # Symptom: two majorities without a common voter, so two leaders. Enough: one
-        # committed change more or less always leaves a common voter.
+        # If two membership changes are uncommitted at once, or one of an earlier term
+        # may be, two majorities can exist without a common voter, and so two leaders.
+        # Majorities before and after a single change always share a voter.
         core = self._core
         if core.log.membership_index > core.commit:
             raise TamarackhavenError(
-                ErrorKind.MEMBERSHIP_BUSY, "another change is not committed yet", 1.0
+                ErrorKind.MEMBERSHIP_BUSY,
+                "another membership change is not committed yet",
+                1.0,
             )
         if not self._has_committed_in_term():
             raise TamarackhavenError(
-                ErrorKind.MEMBERSHIP_BUSY, "the leader is too new", 1.0
+                ErrorKind.MEMBERSHIP_BUSY,
+                "the leader has not committed an entry of its term yet",
+                1.0,
             )
 
     def _has_committed_in_term(self):
@@ -135,7 +140,7 @@
             del self._progress[name]
 
     def persisted(self, now):
-        """Go on after a sync: count the own log, send what is new."""
+        """Advance the commit index after a sync, and send the synced entries."""
         self._now = now
         self._advance_commit()
         for name in self._progress:
@@ -144,10 +149,10 @@
     def _advance_commit(self):
         core = self._core
         index = self._quorum_value(core.synced_index, lambda each: each.match_index)
-        # Failure: an entry of an earlier term is on a majority, and a member with a
-        # newer last term still wins the next election and overwrites it (Raft paper,
-        # figure 8). Symptom: an acknowledged change is gone. Enough: an entry of the
-        # own term on a majority keeps every such member from winning.
+        # An entry of an earlier term can be on a majority and still be overwritten by
+        # a member with a newer last term that wins the next election (Raft paper,
+        # figure 8); an acknowledged change would be lost. An entry of the current
+        # term on a majority keeps every such member from winning.
         if index <= core.commit or core.log.term_at(index) != core.term:
             return
         core.commit_to(index)
@@ -156,7 +161,7 @@
             self._replicate(name, is_heartbeat=True)
         self._confirm_reads()
 
-    # Sending.
+    # Replication.
 
     def _heartbeat(self):
         self._round += 1
@@ -165,7 +170,10 @@
             self._replicate(name, is_heartbeat=True)
 
     def _replicate(self, name, is_heartbeat=False):
-        """Send what the member lacks; an empty message if there is nothing."""
+        """Send the entries or the snapshot that the member lacks.
+
+        With ``is_heartbeat``, an empty message is sent if there is nothing else.
+        """
         core = self._core
         progress = self._progress[name]
         if progress.transfer or progress.next_index <= core.log.start_index:
@@ -209,9 +217,9 @@
         if progress.transfer is None:
             progress.transfer = Transfer(core.log.snapshot)
         transfer = progress.transfer
-        # Load: a member that needs a snapshot and does not answer. Harm: a full piece
-        # at every heartbeat fills the link. Limit: the piece goes again only after an
-        # election timeout; between, an empty one keeps the round going.
+        # For a member that needs a snapshot and doesn't reply, a full chunk with every
+        # heartbeat would saturate the link. A chunk is sent again only after an
+        # election timeout; in between, empty ones carry the heartbeat round.
         is_due = self._now - transfer.sent_at >= core.election_s
         if not is_due and not is_heartbeat:
             return
@@ -234,10 +242,10 @@
             )
         )
 
-    # Answers.
+    # Replies.
 
     def on_append_reply(self, message, now):
-        """Take in a member's answer to entries or a heartbeat."""
+        """Handle a member's reply to entries or a heartbeat."""
         progress = self._heard(message, now)
         if progress is None:
             return
@@ -251,7 +259,7 @@
         self._replicate(message.sender)
 
     def on_snapshot_reply(self, message, now):
-        """Take in a member's answer to a piece of a snapshot."""
+        """Handle a member's reply to a snapshot chunk."""
         progress = self._heard(message, now)
         if progress is None or progress.transfer is None:
             return
@@ -266,7 +274,7 @@
         self._replicate(message.sender)
 
     def _heard(self, message, now):
-        """Note that a member answered; return its progress, None if it is removed."""
+        """Record a member's reply; return its progress, or None if it was removed."""
         self._now = now
         progress = self._progress.get(message.sender)
         if progress is None:
@@ -275,10 +283,10 @@
         progress.acked_round = max(progress.acked_round, message.round)
         return progress
 
-    # Reads.
+    # Linearizable reads.
 
     def read(self, token, now):
-        """Start a round of heartbeats that confirms a read."""
+        """Start a heartbeat round that confirms a read."""
         self._now = now
         index = self._core.commit if self._has_committed_in_term() else None
         self._reads.add(token, self._round + 1, index)
@@ -290,5 +298,5 @@
         self._core.outbox.reads.extend(self._reads.take_confirmed(acked))
 
     def stop(self):
-        """End the leadership: its reads can't be confirmed any more."""
+        """End the leadership and drop its reads, which can't be confirmed any more."""
         self._core.outbox.dropped_reads.extend(self._reads.take_all())
--- a/tamarackhaven/_raft_log.py
+++ b/tamarackhaven/_raft_log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory, with the memberships that its entries carry."""
+"""In-memory part of the replicated log, and the memberships in its entries."""
 
 import itertools
 
@@ -14,12 +14,12 @@
 
 
 class RaftLog:
-    """Entries after a start, which lies at the snapshot or a little before it.
+    """Entries after ``start_index``, which is at or a little before the snapshot.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The newest snapshot; index 0 at a fresh start.
+        The newest snapshot; index 0 at a first start.
     entries : sequence of Entry
         The entries after the snapshot, in order.
     """
@@ -54,12 +54,12 @@
 
     @property
     def membership(self):
-        """The newest membership, committed or not."""
+        """Newest membership, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self):
-        """Index of the entry that holds ``membership``."""
+        """Index of the log entry that holds ``membership``."""
         return self._memberships[-1][0]
 
     def membership_at(self, index):
@@ -68,7 +68,7 @@
         return past[-1]
 
     def term_at(self, index):
-        """Return the term of entry ``index``, or -1 if it isn't held."""
+        """Return the term of entry ``index``, or -1 if it isn't in memory."""
         if index == self.start_index:
             return self._start_term
         if not self.start_index < index <= self.last_index:
@@ -76,40 +76,47 @@
         return self._entries[index - self.start_index - 1].term
 
     def between(self, first, last):
-        """Return the entries ``first`` to ``last``, both included."""
+        """Return the entries from index ``first`` to ``last``, both included."""
         start = self.start_index + 1
         return tuple(self._entries[first - start : last - start + 1])
 
     def batch(self, first, last, limit):
-        """Return at most ``limit`` entries and about ``BATCH_BYTES`` from ``first``."""
+        """Return at most ``limit`` entries and ``MAX_BATCH_BYTES`` from ``first`` on.
+
+        The first entry is returned even if it is larger.
+        """
         entries = self.between(first, min(last, first + limit - 1))
         sizes = itertools.accumulate(len(entry.command) for entry in entries)
         count = sum(1 for size in sizes if size <= BATCH_BYTES)
         return entries[: max(count, 1)]
 
     def is_covered_by(self, index, term):
-        """Tell whether a log that ends at ``index`` and ``term`` is as new as this."""
+        """Return whether a candidate's log is as up to date as this one.
+
+        ``index`` and ``term`` are those of the candidate's last entry.
+        """
         return (term, index) >= (self.last_term, self.last_index)
 
     def append(self, entries):
-        """Append entries that follow the last one."""
+        """Append entries, which must directly follow the last one."""
         self._extend(entries)
 
     def truncate(self, last):
-        """Drop the entries after ``last``, and the memberships that they carried."""
+        """Drop the entries after index ``last``, with their memberships."""
         del self._entries[last - self.start_index :]
         self._memberships = [kept for kept in self._memberships if kept[0] <= last]
 
     def merge(self, entries, commit):
-        """Take in a leader's entries, which fit the log; return the new ones.
+        """Merge a leader's entries, which match the log; return those appended.
 
-        Entries already held are skipped, so that a late duplicate of an old message
-        never shortens the log. Entries that differ are truncated first.
+        Entries that the log holds already are skipped, so that a late duplicate of an
+        old message never truncates the log. From the first entry that differs on, the
+        log is truncated and replaced.
 
         Raises
         ------
         TamarackhavenError
-            LOG_DAMAGED if a committed entry differs; to go on would lose it.
+            LOG_DAMAGED if a committed entry differs; continuing would lose it.
         """
         for position, entry in enumerate(entries):
             if entry.index <= self.start_index:
@@ -127,10 +134,11 @@
         return ()
 
     def backoff_hint(self, index, floor):
-        """Return where a leader that was wrong about ``index`` may go on from.
+        """Return the index to which a leader may rewind after a mismatch at ``index``.
 
-        Skips the whole term of the entry at ``index``, so that a leader needs one
-        round a term and not one an entry; never below ``floor``, which is equal.
+        Skips all entries of the term of the entry at ``index``, so that a leader needs
+        one round per term and not one per entry. The result is never below ``floor``,
+        up to which the logs are known to match.
         """
         if index > self.last_index:
             return self.last_index
@@ -140,10 +148,9 @@
         return max(index, floor)
 
     def compact(self, snapshot, keep):
-        """Note a snapshot of applied state; keep ``keep`` entries before it.
+        """Replace the log by ``snapshot``, but retain ``keep`` entries before it.
 
-        Those entries let a member that is a little behind catch up without a
-        snapshot.
+        With those entries a member that lags a little catches up without a snapshot.
         """
         start = min(max(self.start_index, snapshot.index - keep), snapshot.index)
         term = self.term_at(start)
@@ -155,7 +162,7 @@
         self._memberships = older[-1:] + newer
 
     def restore(self, snapshot):
-        """Replace the log by a leader's snapshot, but for entries that follow it."""
+        """Replace the log by a leader's snapshot; entries that continue it stay."""
         if self.term_at(snapshot.index) != snapshot.term:
             self._reset(snapshot)
             return
--- a/tamarackhaven/_raft_membership.py
+++ b/tamarackhaven/_raft_membership.py
@@ -1,4 +1,4 @@
-"""What one membership change leads to, and when it is refused."""
+"""Computes the membership that results from one step, or refuses the step."""
 
 import attrs
 
@@ -7,14 +7,14 @@
 
 
 def changed(membership, step, index, has_caught_up):
-    """Return the membership after ``step``; its version is ``index``.
+    """Return the membership after ``step``, with ``index`` as its version.
 
     Parameters
     ----------
     membership : Membership
         The membership in effect.
     step : Step
-        The change.
+        The change to apply.
     index : int
         Index of the log entry that will hold the result.
     has_caught_up : bool
@@ -28,7 +28,9 @@
     """
     decide = _BY_ACTION.get(step.action)
     if decide is None:
-        raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, f"action {step.action!r}")
+        raise TamarackhavenError(
+            ErrorKind.INVALID_RESOURCE, f"unknown membership action {step.action!r}"
+        )
     by_name = dict(membership.by_name)
     decide(by_name, step.member, has_caught_up)
     if not any(member.voter for member in by_name.values()):
@@ -43,9 +45,9 @@
 
 
 def _promote(by_name, member, has_caught_up):
-    # Failure: a learner with an empty log becomes the third voter and another member
-    # is lost. Symptom: no entry commits until the learner has the whole state.
-    # Enough: it is within one batch, so it answers within a round or two.
+    # If a learner with an empty log became the third voter and another member were
+    # lost, no entry would commit until the learner had the whole state. A learner that
+    # is within one batch acknowledges new entries after a round or two.
     present = _present(by_name, member)
     if not has_caught_up:
         raise TamarackhavenError(
--- a/tamarackhaven/_raft_messages.py
+++ b/tamarackhaven/_raft_messages.py
@@ -1,8 +1,8 @@
-"""What the consensus state machine takes in and gives out.
+"""Inputs and outputs of the consensus state machine.
 
-Nothing here does input or output. The driver carries out one ``Output`` in order:
-append and sync ``writes``, tell the machine with ``persisted``, then send
-``messages``, then apply ``committed``, then answer ``reads``.
+Nothing here does input or output. The driver processes one ``Output`` in order: it
+appends and syncs ``writes``, confirms them with ``persisted``, sends ``messages``,
+applies ``committed`` and then answers ``reads``.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What the command of a log entry is."""
+    """Type of the command in a log entry."""
 
     EMPTY = 0  # a new leader's first entry
     CHANGE = 1  # JSON of _changes.Change
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class HardState:
-    """What a member must not forget: its term, and its vote in that term."""
+    """Durable state of a member: its term, and its vote in that term."""
 
     term: int = 0
     vote: str = ""
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state after entry ``index``, which replaces all entries up to it."""
+    """State after entry ``index``, which replaces all entries up to that index."""
 
     index: int
     term: int
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Message:
-    """Common part of all messages between members."""
+    """Fields common to all messages between members."""
 
     sender: str
     receiver: str
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class PreVote(Message):
-    """Asks whether a vote would be given, without raising any term."""
+    """Asks whether a vote would be granted, without raising any term."""
 
     last_index: int
     last_term: int
@@ -67,14 +67,14 @@
 
 @attrs.frozen
 class PreVoteReply(Message):
-    """Answers ``PreVote``."""
+    """Reply to ``PreVote``."""
 
     accepted: bool
 
 
 @attrs.frozen
 class Vote(Message):
-    """Asks for a vote."""
+    """Requests a vote."""
 
     last_index: int
     last_term: int
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class VoteReply(Message):
-    """Answers ``Vote``."""
+    """Reply to ``Vote``."""
 
     accepted: bool
 
@@ -103,10 +103,10 @@
 
 @attrs.frozen
 class AppendReply(Message):
-    """Answers ``Append``.
+    """Reply to ``Append``.
 
-    ``match_index`` is the last index known equal if accepted, else a hint where to
-    go on from.
+    ``match_index`` is the last index at which the logs are known to match if accepted,
+    else a hint for the index to rewind to.
     """
 
     accepted: bool
@@ -116,7 +116,7 @@
 
 @attrs.frozen
 class InstallSnapshot(Message):
-    """One piece of a snapshot; ``offset`` in bytes."""
+    """One chunk of a snapshot; ``offset`` is in bytes."""
 
     last_index: int
     last_term: int
@@ -129,9 +129,9 @@
 
 @attrs.frozen
 class InstallSnapshotReply(Message):
-    """Answers ``InstallSnapshot`` with the offset wanted next.
+    """Reply to ``InstallSnapshot`` with the next expected offset, in bytes.
 
-    ``match_index`` is the snapshot's index once it is whole and synced, else 0.
+    ``match_index`` is the snapshot's index once it is complete and synced, else 0.
     """
 
     offset: int
@@ -141,14 +141,14 @@
 
 @attrs.frozen
 class WriteHardState:
-    """Write the term and vote."""
+    """Persist the term and vote."""
 
     hard_state: HardState
 
 
 @attrs.frozen
 class WriteEntries:
-    """Append entries; any older entry with the same or a higher index is void."""
+    """Append entries; they replace all older ones with the same or a higher index."""
 
     entries: tuple[Entry, ...]
 
@@ -173,21 +173,21 @@
 
 @attrs.frozen
 class Output:
-    """What the driver has to do after one input.
+    """Actions that the driver has to carry out after one input.
 
     Parameters
     ----------
     writes : tuple of Write
-        To be synced before anything else.
+        To be synced before all other actions.
     messages : tuple of Message
         To be sent after that.
     committed : tuple of Entry
         To be applied, in order.
     restored : Snapshot or None
-        A snapshot from the leader that replaces the applied state; comes before
-        ``committed``.
+        A snapshot from the leader that replaces the applied state, before
+        ``committed`` is applied.
     reads : tuple of ReadReady
-        Reads that are confirmed.
+        Confirmed reads.
     dropped_reads : tuple of int
         Tokens of reads that this member can't confirm any more.
     """
--- a/tamarackhaven/_raft_outbox.py
+++ b/tamarackhaven/_raft_outbox.py
@@ -1,15 +1,15 @@
-"""Collects what one input to the consensus state machine leads to."""
+"""Collects the output of one input to the consensus state machine."""
 
 from tamarackhaven._raft_messages import Output, WriteHardState
 
 
 class Outbox:
-    """Gathers writes, messages, entries and reads until ``take``.
+    """Buffers writes, messages, entries and reads until ``take``.
 
     Parameters
     ----------
     hard_state : HardState
-        What storage holds already.
+        Term and vote that storage holds already.
     """
 
     def __init__(self, hard_state):
@@ -25,7 +25,10 @@
         self.restored = None
 
     def take(self, hard_state):
-        """Return the ``Output``, with the hard state if it has changed."""
+        """Return the buffered ``Output`` and clear the buffer.
+
+        The hard state is among the writes if it has changed since the last call.
+        """
         writes = tuple(self.writes)
         if hard_state != self._hard_state:
             writes = (WriteHardState(hard_state), *writes)
--- a/tamarackhaven/_raft_progress.py
+++ b/tamarackhaven/_raft_progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows about one other member, and how it sends a snapshot."""
+"""Replication progress of one other member, as its leader tracks it."""
 
 import attrs
 
@@ -7,14 +7,14 @@
 
 @attrs.define
 class Transfer:
-    """A snapshot on its way to one member.
+    """State of a snapshot transfer to one member.
 
     Parameters
     ----------
     snapshot : Snapshot
-        Held until the end, even if the leader makes a newer one meanwhile.
+        Kept until the transfer ends, even if the leader makes a newer one meanwhile.
     offset : int
-        First byte that the member hasn't confirmed.
+        Offset in bytes of the first byte that the member hasn't acknowledged.
     sent_at : float
         When the piece at ``offset`` was sent, in seconds.
     """
@@ -30,23 +30,23 @@
 
 @attrs.define
 class Progress:
-    """How far one member has come.
+    """Replication state of one member.
 
     Parameters
     ----------
     next_index : int
-        First entry to send next; moves ahead of the answers.
+        Index of the next entry to send; advances ahead of the replies.
     match_index : int
-        Last entry known to be synced there.
+        Index of the last entry known to be synced on the member.
     heard_at : float
-        When it last answered in this term, in seconds.
+        When the member last replied in this term, in seconds.
     acked_round : int
-        Newest heartbeat round that it answered.
+        Newest heartbeat round that it acknowledged.
     backoff_round : int
-        Refusals of older rounds are void: they answer messages sent before the last
-        step back, and following each would send the same entries again for each.
+        Refusals of older rounds are ignored. They reply to messages sent before the
+        last rewind, and rewinding for each would send the same entries repeatedly.
     transfer : Transfer or None
-        The snapshot that it needs first, if any.
+        Transfer of the snapshot that it needs before further entries, if any.
     """
 
     next_index: int
@@ -57,17 +57,17 @@
     transfer: Transfer | None = None
 
     def matched(self, index):
-        """Note that the member holds everything up to ``index``."""
+        """Record that the member holds all entries up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, index + 1)
 
     def back_off(self, hint, current_round):
-        """Go on from ``hint``, as the member refused an append."""
+        """Continue after index ``hint``, because the member refused an append."""
         self.next_index = max(self.match_index, hint) + 1
         self.backoff_round = current_round
 
 
 def quorum_value(values, quorum):
-    """Return the largest value that at least ``quorum`` of ``values`` reach."""
+    """Return the largest value that at least ``quorum`` of ``values`` have reached."""
     ranked = sorted(values, reverse=True)
     return ranked[quorum - 1]
--- a/tamarackhaven/_raft_reads.py
+++ b/tamarackhaven/_raft_reads.py
@@ -13,17 +13,17 @@
 
 
 class PendingReads:
-    """Reads in order of arrival."""
+    """Pending reads in order of arrival."""
 
     def __init__(self):
         self._reads = []
 
     def add(self, token, round_number, index):
-        """Add a read that ``round_number`` confirms; ``index`` None if not known."""
+        """Add a read that ``round_number`` confirms; ``index`` is None if unknown."""
         self._reads.append(_Read(token, round_number, index))
 
     def set_index(self, index):
-        """Give ``index`` to the reads that came before the first own commit."""
+        """Set ``index`` for the reads that arrived before the term's first commit."""
         for read in self._reads:
             if read.index is None:
                 read.index = index
--- a/tamarackhaven/_raft_wire.py
+++ b/tamarackhaven/_raft_wire.py
@@ -1,4 +1,4 @@
-"""Messages of consensus to and from their form between control VMs."""
+"""Converts consensus messages to and from the wire format between control VMs."""
 
 from functools import singledispatch
 
@@ -20,7 +20,7 @@
 
 
 def to_wire(message):
-    """Return a message as ``_wire_pb2.RaftMessage``."""
+    """Return a consensus message as ``_wire_pb2.RaftMessage``."""
     wire = _wire_pb2.RaftMessage(
         kind=type(message).__name__,
         sender=message.sender,
@@ -33,7 +33,7 @@
 
 @singledispatch
 def _fill(message, _wire):
-    raise TypeError(f"no message of consensus: {type(message).__name__}")
+    raise TypeError(f"unknown consensus message type {type(message).__name__}")
 
 
 @_fill.register
@@ -88,21 +88,23 @@
 
 
 def from_wire(wire):
-    """Return a ``_wire_pb2.RaftMessage`` as a message.
+    """Return the consensus message in a ``_wire_pb2.RaftMessage``.
 
     Raises
     ------
     TamarackhavenError
-        MALFORMED_REQUEST for an unknown kind, as of a newer version.
+        MALFORMED_REQUEST for an unknown kind, such as one of a newer version.
     """
     read = _READ_BY_KIND.get(wire.kind)
     if read is None:
-        raise TamarackhavenError(ErrorKind.MALFORMED_REQUEST, f"kind {wire.kind!r}")
+        raise TamarackhavenError(
+            ErrorKind.MALFORMED_REQUEST, f"unknown consensus message kind {wire.kind!r}"
+        )
     return read(wire.sender, wire.receiver, wire.term, wire)
 
 
 def _reader(kind, *names):
-    """Return a reader for a message whose fields are the wire's."""
+    """Return a decoder for a message whose fields are those of the wire format."""
 
     def read(sender, receiver, term, wire):
         values = {name: getattr(wire, name) for name in names}
