--- a/tamarackhaven/_raft.py
+++ b/tamarackhaven/_raft.py
@@ -8,7 +8,7 @@
 import functools
 
 from tamarackhaven import _raft_follower
-from tamarackhaven._raft_core import Core, note_synced
+from tamarackhaven._raft_core import Core, mark_synced
 from tamarackhaven._raft_election import Election
 from tamarackhaven._raft_leader import Leader
 from tamarackhaven._raft_log import RaftLog
@@ -27,9 +27,9 @@
 from tamarackhaven._raft_outbox import Outbox
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# The part of ``snapshot_entries`` kept in memory before a snapshot, for members that
-# are only a little behind it.
-KEPT_PART = 4
+# ``snapshot_entries`` divided by this is the number of entries retained before a
+# snapshot, so that members that lag only a little don't need the snapshot.
+RETAINED_ENTRIES_DIVISOR = 4
 
 
 class Role(enum.Enum):
@@ -71,7 +71,7 @@
         self._core = Core(name, settings, hard_state, log, self._outbox)
         self._rng = rng
         self._now = now
-        self._heard_at = float("-inf")
+        self._leader_contact_at_s = float("-inf")
         self._election = None
         self._leadership = None
         self._receiver = _raft_follower.SnapshotReceiver()
@@ -130,17 +130,17 @@
         self._now = now
         if self._leadership:
             if not self._leadership.tick(now):
-                self._follow(leader="")
-        elif now >= self._election_due and self._is_voter:
+                self._become_follower(leader="")
+        elif now >= self._election_due_s and self._is_voter:
             self._campaign(is_pre_vote=True)
-        return self._take()
+        return self._take_output()
 
     def step(self, message, now):
         """Handle one message from another member."""
         self._now = now
-        if message.receiver == self._core.name and self._is_timely(message):
-            self._on(message)
-        return self._take()
+        if message.receiver == self._core.name and self._reconcile_term(message):
+            self._handle(message)
+        return self._take_output()
 
     def propose(self, command, now):
         """Append a change to the log.
@@ -157,8 +157,8 @@
             NO_QUORUM if this member isn't the leader.
         """
         self._now = now
-        index = self._lead().propose(command)
-        return index, self._core.term, self._take()
+        index = self._require_leadership().propose(command)
+        return index, self._core.term, self._take_output()
 
     def change_membership(self, step, now):
         """Append one membership change, which is in effect at once; see ``propose``.
@@ -171,8 +171,8 @@
             NOT_FOUND or INVALID_RESOURCE if the step doesn't fit the membership.
         """
         self._now = now
-        index = self._lead().change_membership(step)
-        return index, self._core.term, self._take()
+        index = self._require_leadership().change_membership(step)
+        return index, self._core.term, self._take_output()
 
     def read(self, token, now):
         """Request the index that a linearizable read has to wait for.
@@ -185,29 +185,31 @@
             self._leadership.read(token, now)
         else:
             self._outbox.dropped_reads.append(token)
-        return self._take()
+        return self._take_output()
 
     def persisted(self, output_writes, now):
         """Record that ``output_writes`` are synced to disk."""
         self._now = now
         for write in output_writes:
-            note_synced(write, self._core)
+            mark_synced(write, self._core)
         if self._leadership:
             self._leadership.persisted(now)
-        return self._take()
+        return self._take_output()
 
     def compacted(self, snapshot):
         """Replace the log up to ``snapshot``, which holds the applied state."""
         core = self._core
         if snapshot.index > core.log.snapshot.index:
-            core.log.compact(snapshot, core.settings.snapshot_entries // KEPT_PART)
+            core.log.compact(
+                snapshot, core.settings.snapshot_entries // RETAINED_ENTRIES_DIVISOR
+            )
             self._outbox.writes.append(WriteSnapshot(snapshot))
-        return self._take()
+        return self._take_output()
 
-    def _take(self):
+    def _take_output(self):
         return self._outbox.take(self._core.hard_state)
 
-    def _lead(self):
+    def _require_leadership(self):
         if not self._leadership:
             leader = self._core.leader or "none known"
             raise TamarackhavenError(ErrorKind.NO_QUORUM, f"leader: {leader}", 0.1)
@@ -219,9 +221,9 @@
     def _is_voter(self):
         return self._core.name in self._core.voters
 
-    def _hears_leader(self):
-        heard_lately = self._now - self._heard_at < self._core.election_s
-        return self._leadership is not None or heard_lately
+    def _has_leader_contact(self):
+        is_recent = self._now - self._leader_contact_at_s < self._core.election_s
+        return self._leadership is not None or is_recent
 
     def _start_election_timer(self):
         """Set the election timeout after a start, which may be shorter than later ones.
@@ -233,13 +235,13 @@
         """
         settings = self._core.settings
         first_s = (settings.first_election_ms or settings.election_ms) / 1000
-        self._election_due = self._now + first_s * (1 + self._rng.random())
+        self._election_due_s = self._now + first_s * (1 + self._rng.random())
 
     def _reset_election_timer(self):
-        wait = self._core.election_s * (1 + self._rng.random())
-        self._election_due = self._now + wait
+        timeout_s = self._core.election_s * (1 + self._rng.random())
+        self._election_due_s = self._now + timeout_s
 
-    def _follow(self, leader):
+    def _become_follower(self, leader):
         """Become a follower of ``leader``; end a leadership or a candidacy."""
         if self._leadership:
             self._leadership.stop()
@@ -252,7 +254,7 @@
         core = self._core
         core.term = term
         core.vote = ""
-        self._follow(leader)
+        self._become_follower(leader)
 
     def _campaign(self, is_pre_vote):
         core = self._core
@@ -262,7 +264,7 @@
             core.vote = core.name
         self._reset_election_timer()
         self._election = Election(core, is_pre_vote)
-        self._election.ask()
+        self._election.request_votes()
         self._finish_election()
 
     def _finish_election(self):
@@ -280,34 +282,34 @@
         core = self._core
         if core.log.membership_index > core.commit or self._is_voter:
             return
-        self._follow(leader="")
+        self._become_follower(leader="")
 
     # Term checks.
 
-    def _is_timely(self, message):
+    def _reconcile_term(self, message):
         """Adopt a newer term; return whether the message is to be handled."""
         if isinstance(message, PreVote):
             return True
         if isinstance(message, PreVoteReply) and message.accepted:
             return True
         if message.term > self._core.term:
-            return self._is_newer_term_welcome(message)
+            return self._adopt_newer_term(message)
         if message.term < self._core.term:
-            self._refuse_old_term(message)
+            self._refuse_older_term(message)
             return False
         return True
 
-    def _is_newer_term_welcome(self, message):
+    def _adopt_newer_term(self, message):
         # A member that doesn't receive the leader's heartbeats, or was removed, keeps
         # requesting votes and would repeatedly depose a leader that a quorum follows.
         # So a member with recent leader contact ignores the request and its term.
-        if isinstance(message, Vote) and self._hears_leader():
+        if isinstance(message, Vote) and self._has_leader_contact():
             return False
         is_leader = isinstance(message, Append | InstallSnapshot)
         self._enter_term(message.term, message.sender if is_leader else "")
         return True
 
-    def _refuse_old_term(self, message):
+    def _refuse_older_term(self, message):
         """Refuse a message of an older term; the reply holds the current one."""
         core = self._core
         if isinstance(message, Append | InstallSnapshot):
@@ -327,10 +329,10 @@
     # Message handlers.
 
     @functools.singledispatchmethod
-    def _on(self, message):
+    def _handle(self, message):
         raise TypeError(f"unknown consensus message type {type(message).__name__}")
 
-    @_on.register
+    @_handle.register
     def _(self, message: PreVote):
         # A partitioned member would raise its term with every failed election, and on
         # its return depose a working leader. With pre-votes it raises its term only
@@ -338,16 +340,16 @@
         core = self._core
         accepted = (
             message.term > core.term
-            and not self._hears_leader()
-            and core.log.is_covered_by(message.last_index, message.last_term)
+            and not self._has_leader_contact()
+            and core.log.allows_vote(message.last_index, message.last_term)
         )
         term = message.term if accepted else core.term
         self._reply_vote(PreVoteReply, message, accepted, term)
 
-    @_on.register
+    @_handle.register
     def _(self, message: Vote):
         core = self._core
-        accepted = core.vote in ("", message.sender) and core.log.is_covered_by(
+        accepted = core.vote in ("", message.sender) and core.log.allows_vote(
             message.last_index, message.last_term
         )
         if accepted:
@@ -365,15 +367,15 @@
             )
         )
 
-    @_on.register
+    @_handle.register
     def _(self, message: PreVoteReply):
-        self._count(message, is_pre_vote=True)
+        self._count_vote(message, is_pre_vote=True)
 
-    @_on.register
+    @_handle.register
     def _(self, message: VoteReply):
-        self._count(message, is_pre_vote=False)
+        self._count_vote(message, is_pre_vote=False)
 
-    def _count(self, message, is_pre_vote):
+    def _count_vote(self, message, is_pre_vote):
         election = self._election
         if election is None or election.is_pre_vote is not is_pre_vote:
             return
@@ -382,31 +384,31 @@
         election.count(message)
         self._finish_election()
 
-    @_on.register
+    @_handle.register
     def _(self, message: Append):
-        if self._hear(message):
+        if self._accept_leader(message):
             _raft_follower.on_append(self._core, message)
 
-    @_on.register
+    @_handle.register
     def _(self, message: InstallSnapshot):
-        if self._hear(message):
-            self._receiver.on_piece(self._core, message)
+        if self._accept_leader(message):
+            self._receiver.on_install_snapshot(self._core, message)
 
-    def _hear(self, message):
+    def _accept_leader(self, message):
         """Record the sender as leader; return false if this member itself leads."""
         if self._leadership:
             return False
-        self._heard_at = self._now
-        self._follow(message.sender)
+        self._leader_contact_at_s = self._now
+        self._become_follower(message.sender)
         return True
 
-    @_on.register
+    @_handle.register
     def _(self, message: AppendReply):
         if self._leadership:
             self._leadership.on_append_reply(message, self._now)
             self._stop_if_removed()
 
-    @_on.register
+    @_handle.register
     def _(self, message: InstallSnapshotReply):
         if self._leadership:
             self._leadership.on_snapshot_reply(message, self._now)
--- a/tamarackhaven/_raft_core.py
+++ b/tamarackhaven/_raft_core.py
@@ -66,26 +66,26 @@
         """Commit all entries up to ``index``; ignored if they are committed already."""
         if index <= self.commit:
             return
-        self.outbox.committed.extend(self.log.between(self.commit + 1, index))
+        self.outbox.committed.extend(self.log.entries_between(self.commit + 1, index))
         self.commit = index
 
-    def note_synced(self, index, term):
+    def mark_synced(self, index, term):
         """Record that entry ``index`` is synced, unless it was replaced meanwhile."""
         if self.log.term_at(index) == term:
             self.synced_index = max(self.synced_index, index)
 
 
 @functools.singledispatch
-def note_synced(_write, _core):
+def mark_synced(_write, _core):
     """Record the entries that a write made durable; a term or vote holds none."""
 
 
-@note_synced.register
+@mark_synced.register
 def _(write: WriteEntries, core):
     last = write.entries[-1]
-    core.note_synced(last.index, last.term)
+    core.mark_synced(last.index, last.term)
 
 
-@note_synced.register
+@mark_synced.register
 def _(write: WriteSnapshot, core):
-    core.note_synced(write.snapshot.index, write.snapshot.term)
+    core.mark_synced(write.snapshot.index, write.snapshot.term)
--- a/tamarackhaven/_raft_election.py
+++ b/tamarackhaven/_raft_election.py
@@ -30,7 +30,7 @@
         votes = self._accepted.intersection(self._core.voters)
         return len(votes) >= self._core.quorum
 
-    def ask(self):
+    def request_votes(self):
         """Send a vote request to all other voters."""
         core = self._core
         kind = PreVote if self.is_pre_vote else Vote
--- a/tamarackhaven/_raft_follower.py
+++ b/tamarackhaven/_raft_follower.py
@@ -12,30 +12,30 @@
 def on_append(core, message):
     """Append entries if the log matches at their predecessor; reply in any case."""
     if message.last_index < core.commit:
-        message_entries = _after(message.entries, core.commit)
+        new_entries = _entries_after(message.entries, core.commit)
     elif core.log.term_at(message.last_index) != message.last_term:
-        hint = core.log.backoff_hint(message.last_index, core.commit)
-        _reply_append(core, message, False, hint)
+        conflict_hint = core.log.conflict_hint(message.last_index, core.commit)
+        _reply_append(core, message, False, conflict_hint)
         return
     else:
-        message_entries = message.entries
-    _store(core, message_entries)
+        new_entries = message.entries
+    _append_entries(core, new_entries)
     match_index = max(message.last_index + len(message.entries), core.commit)
     _reply_append(core, message, True, match_index)
     core.commit_to(min(message.commit, match_index))
 
 
-def _after(entries, index):
+def _entries_after(entries, index):
     """Return the entries after ``index``; earlier ones are committed and identical."""
     return tuple(entry for entry in entries if entry.index > index)
 
 
-def _store(core, entries):
-    new = core.log.merge(entries, core.commit)
-    if not new:
+def _append_entries(core, entries):
+    appended = core.log.merge(entries, core.commit)
+    if not appended:
         return
-    core.synced_index = min(core.synced_index, new[0].index - 1)
-    core.outbox.writes.append(WriteEntries(new))
+    core.synced_index = min(core.synced_index, appended[0].index - 1)
+    core.outbox.writes.append(WriteEntries(appended))
 
 
 def _reply_append(core, message, accepted, match_index):
@@ -58,12 +58,12 @@
         self._key = None
         self._data = bytearray()
 
-    def on_piece(self, core, message):
+    def on_install_snapshot(self, core, message):
         """Store one chunk; install the snapshot once it is complete."""
         if message.last_index <= core.commit:
             self._reply(core, message, match_index=core.commit)
             return
-        self._collect(message)
+        self._add_chunk(message)
         is_whole = message.done and message.offset + len(message.chunk) == len(
             self._data
         )
@@ -73,7 +73,7 @@
         self._install(core, message)
         self._reply(core, message, match_index=message.last_index)
 
-    def _collect(self, message):
+    def _add_chunk(self, message):
         key = (message.sender, message.term, message.last_index, message.last_term)
         if key != self._key:
             self._key = key
--- a/tamarackhaven/_raft_log.py
+++ b/tamarackhaven/_raft_log.py
@@ -7,10 +7,10 @@
 from tamarackhaven._raft_messages import EntryKind
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# Load: a member far behind under large commands. Harm: one message over the
-# transport's limit (4 MiB for gRPC) would be refused again and again, and the member
-# would never catch up. Limit: a quarter of that; one entry always goes.
-BATCH_BYTES = 1 << 20
+# A message over the transport's limit (4 MiB for gRPC) would be refused at every
+# retry, and a member that lags behind large commands would never catch up. A batch
+# is at most a quarter of the limit, unless a single entry is larger.
+MAX_BATCH_BYTES = 1 << 20
 
 
 class RaftLog:
@@ -64,8 +64,8 @@
 
     def membership_at(self, index):
         """Return the membership in effect at ``index``."""
-        past = [kept for at, kept in self._memberships if at <= index]
-        return past[-1]
+        earlier = [held for at, held in self._memberships if at <= index]
+        return earlier[-1]
 
     def term_at(self, index):
         """Return the term of entry ``index``, or -1 if it isn't in memory."""
@@ -75,7 +75,7 @@
             return -1
         return self._entries[index - self.start_index - 1].term
 
-    def between(self, first, last):
+    def entries_between(self, first, last):
         """Return the entries from index ``first`` to ``last``, both included."""
         start = self.start_index + 1
         return tuple(self._entries[first - start : last - start + 1])
@@ -85,12 +85,12 @@
 
         The first entry is returned even if it is larger.
         """
-        entries = self.between(first, min(last, first + limit - 1))
+        entries = self.entries_between(first, min(last, first + limit - 1))
         sizes = itertools.accumulate(len(entry.command) for entry in entries)
-        count = sum(1 for size in sizes if size <= BATCH_BYTES)
+        count = sum(1 for size in sizes if size <= MAX_BATCH_BYTES)
         return entries[: max(count, 1)]
 
-    def is_covered_by(self, index, term):
+    def allows_vote(self, index, term):
         """Return whether a candidate's log is as up to date as this one.
 
         ``index`` and ``term`` are those of the candidate's last entry.
@@ -104,7 +104,7 @@
     def truncate(self, last):
         """Drop the entries after index ``last``, with their memberships."""
         del self._entries[last - self.start_index :]
-        self._memberships = [kept for kept in self._memberships if kept[0] <= last]
+        self._memberships = [pair for pair in self._memberships if pair[0] <= last]
 
     def merge(self, entries, commit):
         """Merge a leader's entries, which match the log; return those appended.
@@ -127,13 +127,13 @@
                 raise TamarackhavenError(
                     ErrorKind.LOG_DAMAGED, f"committed entry {entry.index} differs"
                 )
-            new = tuple(entries[position:])
+            appended = tuple(entries[position:])
             self.truncate(entry.index - 1)
-            self._extend(new)
-            return new
+            self._extend(appended)
+            return appended
         return ()
 
-    def backoff_hint(self, index, floor):
+    def conflict_hint(self, index, floor):
         """Return the index to which a leader may rewind after a mismatch at ``index``.
 
         Skips all entries of the term of the entry at ``index``, so that a leader needs
@@ -157,8 +157,8 @@
         del self._entries[: start - self.start_index]
         self.start_index, self._start_term = start, term
         self.snapshot = snapshot
-        older = [kept for kept in self._memberships if kept[0] <= snapshot.index]
-        newer = [kept for kept in self._memberships if kept[0] > snapshot.index]
+        older = [pair for pair in self._memberships if pair[0] <= snapshot.index]
+        newer = [pair for pair in self._memberships if pair[0] > snapshot.index]
         self._memberships = older[-1:] + newer
 
     def restore(self, snapshot):
@@ -166,6 +166,6 @@
         if self.term_at(snapshot.index) != snapshot.term:
             self._reset(snapshot)
             return
-        after = self.between(snapshot.index + 1, self.last_index)
+        following = self.entries_between(snapshot.index + 1, self.last_index)
         self._reset(snapshot)
-        self._extend(after)
+        self._extend(following)
--- a/tamarackhaven/_raft_membership.py
+++ b/tamarackhaven/_raft_membership.py
@@ -26,15 +26,17 @@
         ALREADY_EXISTS, NOT_FOUND, INVALID_RESOURCE, or MEMBERSHIP_BUSY for a learner
         that has not caught up.
     """
-    decide = _BY_ACTION.get(step.action)
-    if decide is None:
+    apply_step = _FUNCTION_BY_ACTION.get(step.action)
+    if apply_step is None:
         raise TamarackhavenError(
             ErrorKind.INVALID_RESOURCE, f"unknown membership action {step.action!r}"
         )
     by_name = dict(membership.by_name)
-    decide(by_name, step.member, has_caught_up)
+    apply_step(by_name, step.member, has_caught_up)
     if not any(member.voter for member in by_name.values()):
-        raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, "no voter would be left")
+        raise TamarackhavenError(
+            ErrorKind.INVALID_RESOURCE, "the change would leave no voter"
+        )
     return Membership(tuple(by_name.values()), version=index)
 
 
@@ -48,23 +50,23 @@
     # If a learner with an empty log became the third voter and another member were
     # lost, no entry would commit until the learner had the whole state. A learner that
     # is within one batch acknowledges new entries after a round or two.
-    present = _present(by_name, member)
+    existing = _require_member(by_name, member)
     if not has_caught_up:
         raise TamarackhavenError(
             ErrorKind.MEMBERSHIP_BUSY, f"member {member.name!r} has not caught up", 1.0
         )
-    by_name[member.name] = attrs.evolve(present, voter=True)
+    by_name[member.name] = attrs.evolve(existing, voter=True)
 
 
 def _remove(by_name, member, _has_caught_up):
-    _present(by_name, member)
+    _require_member(by_name, member)
     del by_name[member.name]
 
 
-def _present(by_name, member):
+def _require_member(by_name, member):
     if member.name not in by_name:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"member {member.name!r}")
     return by_name[member.name]
 
 
-_BY_ACTION = {"add": _add, "promote": _promote, "remove": _remove}
+_FUNCTION_BY_ACTION = {"add": _add, "promote": _promote, "remove": _remove}
--- a/tamarackhaven/_raft_progress.py
+++ b/tamarackhaven/_raft_progress.py
@@ -15,16 +15,16 @@
         Kept until the transfer ends, even if the leader makes a newer one meanwhile.
     offset : int
         Offset in bytes of the first byte that the member hasn't acknowledged.
-    sent_at : float
-        When the piece at ``offset`` was sent, in seconds.
+    sent_at_s : float
+        When the chunk at ``offset`` was sent, in seconds.
     """
 
     snapshot: Snapshot
     offset: int = 0
-    sent_at: float = float("-inf")
+    sent_at_s: float = float("-inf")
 
-    def piece(self, size):
-        """Return the bytes of the piece at ``offset``."""
+    def next_chunk(self, size):
+        """Return at most ``size`` bytes of the snapshot from ``offset`` on."""
         return self.snapshot.data[self.offset : self.offset + size]
 
 
@@ -38,11 +38,11 @@
         Index of the next entry to send; advances ahead of the replies.
     match_index : int
         Index of the last entry known to be synced on the member.
-    heard_at : float
+    replied_at_s : float
         When the member last replied in this term, in seconds.
     acked_round : int
         Newest heartbeat round that it acknowledged.
-    backoff_round : int
+    rewind_round : int
         Refusals of older rounds are ignored. They reply to messages sent before the
         last rewind, and rewinding for each would send the same entries repeatedly.
     transfer : Transfer or None
@@ -50,21 +50,21 @@
     """
 
     next_index: int
-    heard_at: float
+    replied_at_s: float
     match_index: int = 0
     acked_round: int = 0
-    backoff_round: int = 0
+    rewind_round: int = 0
     transfer: Transfer | None = None
 
-    def matched(self, index):
+    def advance_match_index(self, index):
         """Record that the member holds all entries up to ``index``."""
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, index + 1)
 
-    def back_off(self, hint, current_round):
+    def rewind(self, hint, current_round):
         """Continue after index ``hint``, because the member refused an append."""
         self.next_index = max(self.match_index, hint) + 1
-        self.backoff_round = current_round
+        self.rewind_round = current_round
 
 
 def quorum_value(values, quorum):
--- a/tamarackhaven/_raft_wire.py
+++ b/tamarackhaven/_raft_wire.py
@@ -27,27 +27,27 @@
         receiver=message.receiver,
         term=message.term,
     )
-    _fill(message, wire)
+    _fill_wire(message, wire)
     return wire
 
 
 @singledispatch
-def _fill(message, _wire):
+def _fill_wire(message, _wire):
     raise TypeError(f"unknown consensus message type {type(message).__name__}")
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: PreVote | Vote, wire):
     wire.last_index = message.last_index
     wire.last_term = message.last_term
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: PreVoteReply | VoteReply, wire):
     wire.accepted = message.accepted
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: Append, wire):
     wire.last_index = message.last_index
     wire.last_term = message.last_term
@@ -62,14 +62,14 @@
         )
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: AppendReply, wire):
     wire.accepted = message.accepted
     wire.match_index = message.match_index
     wire.round = message.round
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: InstallSnapshot, wire):
     wire.last_index = message.last_index
     wire.last_term = message.last_term
@@ -80,7 +80,7 @@
     wire.round = message.round
 
 
-@_fill.register
+@_fill_wire.register
 def _(message: InstallSnapshotReply, wire):
     wire.offset = message.offset
     wire.match_index = message.match_index
@@ -95,25 +95,25 @@
     TamarackhavenError
         MALFORMED_REQUEST for an unknown kind, such as one of a newer version.
     """
-    read = _READ_BY_KIND.get(wire.kind)
-    if read is None:
+    decode = _READ_BY_KIND.get(wire.kind)
+    if decode is None:
         raise TamarackhavenError(
             ErrorKind.MALFORMED_REQUEST, f"unknown consensus message kind {wire.kind!r}"
         )
-    return read(wire.sender, wire.receiver, wire.term, wire)
+    return decode(wire.sender, wire.receiver, wire.term, wire)
 
 
-def _reader(kind, *names):
+def _field_decoder(kind, *field_names):
     """Return a decoder for a message whose fields are those of the wire format."""
 
-    def read(sender, receiver, term, wire):
-        values = {name: getattr(wire, name) for name in names}
+    def decode(sender, receiver, term, wire):
+        values = {name: getattr(wire, name) for name in field_names}
         return kind(sender, receiver, term, **values)
 
-    return read
+    return decode
 
 
-def _read_append(sender, receiver, term, wire):
+def _decode_append(sender, receiver, term, wire):
     entries = tuple(
         Entry(each.index, each.term, EntryKind(each.kind), each.command)
         for each in wire.entries
@@ -130,7 +130,7 @@
     )
 
 
-def _read_install_snapshot(sender, receiver, term, wire):
+def _decode_install_snapshot(sender, receiver, term, wire):
     return InstallSnapshot(
         sender,
         receiver,
@@ -146,14 +146,14 @@
 
 
 _READ_BY_KIND = {
-    "PreVote": _reader(PreVote, "last_index", "last_term"),
-    "PreVoteReply": _reader(PreVoteReply, "accepted"),
-    "Vote": _reader(Vote, "last_index", "last_term"),
-    "VoteReply": _reader(VoteReply, "accepted"),
-    "Append": _read_append,
-    "AppendReply": _reader(AppendReply, "accepted", "match_index", "round"),
-    "InstallSnapshot": _read_install_snapshot,
-    "InstallSnapshotReply": _reader(
+    "PreVote": _field_decoder(PreVote, "last_index", "last_term"),
+    "PreVoteReply": _field_decoder(PreVoteReply, "accepted"),
+    "Vote": _field_decoder(Vote, "last_index", "last_term"),
+    "VoteReply": _field_decoder(VoteReply, "accepted"),
+    "Append": _decode_append,
+    "AppendReply": _field_decoder(AppendReply, "accepted", "match_index", "round"),
+    "InstallSnapshot": _decode_install_snapshot,
+    "InstallSnapshotReply": _field_decoder(
         InstallSnapshotReply, "offset", "match_index", "round"
     ),
 }
