--- a/tamarackhaven/_consensus.py
+++ b/tamarackhaven/_consensus.py
@@ -1,7 +1,7 @@
-"""Runs one member of the consensus group on a thread of its own.
+"""Runs one member of the consensus group on its own thread.
 
-The thread owns the state machine, the storage and the applied state. All others put
-inputs into its queue and get futures.
+The thread owns the Raft state machine, the storage and the applied state. Other threads
+put inputs into its queue and get futures.
 """
 
 import collections
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Status:
-    """What one member knows of the group and of itself."""
+    """State of one member, and of the group as this member sees it."""
 
     name: str
     role: Role
@@ -76,11 +76,11 @@
 
 @attrs.frozen
 class _Stop:
-    """Ends the thread."""
+    """Input that ends the member's thread."""
 
 
 class Consensus:
-    """One running member.
+    """Runs one member of the consensus group.
 
     Parameters
     ----------
@@ -89,25 +89,26 @@
     settings : RaftSettings
         Timings and sizes.
     storage : Storage
-        Open; closed by ``stop`` and after a fatal error.
+        Must be open; is closed by ``stop`` and after a fatal error.
     membership_at_first_start : Membership
-        Used if the storage is new; without members for one that joins a group.
+        Used if the storage is new; has no members if this one joins a group.
     send : callable
-        Takes a sequence of messages; must not block. Messages may be lost.
+        Called with a sequence of messages; must not block. Messages may be lost.
     machine : object
-        Has ``apply(entry)``, ``snapshot()`` giving bytes, and ``restore(snapshot)``;
-        called from this member's thread only. ``apply`` gets entries of all kinds.
+        Applied state, with ``apply(entry)``, ``snapshot()`` that returns bytes, and
+        ``restore(snapshot)``. They are called on this member's thread only; ``apply``
+        gets entries of all kinds.
     clock : callable
-        Returns seconds that also count while the VM is suspended.
+        Returns a time in seconds that also advances while the VM is suspended.
     rng : random.Random
-        For election timeouts and the folder's id.
+        Used for election timeouts and the folder's id.
     on_fatal : callable
-        Called once with the error if the member has to stop for good.
+        Called once, with the error, if the member has to stop permanently.
 
     Raises
     ------
     TamarackhavenError
-        MEMBER_UNKNOWN if the folder is another member's; errors of the storage.
+        MEMBER_UNKNOWN if the folder belongs to another member; errors of the storage.
     """
 
     def __init__(
@@ -150,7 +151,7 @@
         if storage.identity.name != self._name:
             raise TamarackhavenError(
                 ErrorKind.MEMBER_UNKNOWN,
-                f"the folder belongs to member {storage.identity.name!r}",
+                f"the data folder belongs to member {storage.identity.name!r}",
             )
 
     def _recover(self, rng):
@@ -170,7 +171,7 @@
             rng,
         )
 
-    # Any thread.
+    # Called on any thread.
 
     def start(self):
         """Start the member's thread."""
@@ -180,7 +181,7 @@
         self._thread_done = self._executor.submit(self._run)
 
     def stop(self):
-        """Stop the thread and close the storage; what waits is answered."""
+        """Stop the thread, close the storage and fail all pending requests."""
         self._queue.put(_Stop())
         if self._executor:
             self._executor.shutdown(wait=True)
@@ -188,41 +189,42 @@
             self._finish(_stopped())
 
     def deliver(self, messages):
-        """Take in messages of other members."""
+        """Queue messages from other members."""
         self._queue.put(_Deliver(tuple(messages)))
 
     def propose(self, command, term=None):
-        """Add a change to the log.
+        """Append a change to the log.
 
         Parameters
         ----------
         command : bytes
-            For ``machine.apply``.
+            Command for ``machine.apply``.
         term : int or None
-            Only while this member leads in this term; in any if it is None.
+            Append only while this member leads in this term; None allows any term.
 
         Returns
         -------
         concurrent.futures.Future
-            What ``machine.apply`` returned for this entry. Fails with NO_QUORUM if
-            this member doesn't lead in that term, with CONTROL_BUSY if too many
-            changes wait already, with CHANGE_UNCONFIRMED if the entry is in the log
-            and may yet commit or not, or with the fatal error if it never came into
-            the log. Callbacks run on the member's thread and must not block.
+            Result of ``machine.apply`` for this entry. Fails with NO_QUORUM if this
+            member doesn't lead in that term, with CONTROL_BUSY if too many changes
+            are pending already, with CHANGE_UNCONFIRMED if the entry is in the log
+            and may still be committed, or with the fatal error if it was never
+            appended. Callbacks run on the member's thread and must not block.
         """
         return self._ask(_Propose, command, term)
 
     def change_membership(self, step):
-        """Add one membership change to the log; as ``propose``."""
+        """Append one membership change to the log; see ``propose``."""
         return self._ask(_ChangeMembership, step)
 
     def read(self):
-        """Wait for a moment at which all that was committed before is applied.
+        """Wait until all entries committed before this call are applied.
 
         Returns
         -------
         concurrent.futures.Future
-            The applied index. Fails with NO_QUORUM if this member doesn't lead.
+            The applied index. Fails with NO_QUORUM if this member isn't the leader,
+            or with the fatal error if the member has stopped.
         """
         return self._ask(_Read)
 
@@ -235,7 +237,7 @@
         return future
 
     def status(self):
-        """Return the ``Status`` after the last input."""
+        """Return the ``Status`` after the last batch of inputs."""
         return self._status
 
     def _describe(self):
@@ -250,7 +252,7 @@
             membership=raft.membership,
         )
 
-    # The member's thread.
+    # Called on the member's thread.
 
     def _run(self):
         error = _stopped()
@@ -268,7 +270,7 @@
             self._on_fatal(fatal)
 
     def _finish(self, error):
-        """Answer all that waits; a failed member takes part in nothing any more."""
+        """Close the storage; fail all pending and later requests with ``error``."""
         self._error = error
         self._status = attrs.evolve(self._status, role=Role.FOLLOWER, leader="")
         self._storage.close()
@@ -288,20 +290,20 @@
             item.future.set_exception(self._error)
 
     def _turn(self):
-        """Handle one batch of inputs with one sync."""
+        """Process one batch of inputs with one sync."""
         self._take_inputs()
         self._now = self._clock()
         outputs = []
         while self._inputs:
             outputs.extend(self._handle(self._inputs.popleft()))
         if self._now >= self._tick_due:
-            # Load: a sync that takes longer than an election timeout. Harm: a follower
-            # that looks at the clock before the heartbeats that wait in its queue
-            # starts an election for nothing; so the tick comes after them.
+            # After a sync that took longer than an election timeout, heartbeats wait in
+            # the queue. A follower that checked its election timeout before them would
+            # start a needless election, so the tick comes last.
             self._tick_due = self._now + self._tick_s
             outputs.append(self._raft.tick(self._now))
         if self._waiting.has_new_reads:
-            # All reads of a batch share one round of heartbeats.
+            # All reads of a batch share one heartbeat round.
             token = self._waiting.start_reads()
             outputs.append(self._raft.read(token, self._now))
         self._carry_out(outputs)
@@ -321,7 +323,7 @@
 
     @singledispatchmethod
     def _handle(self, item):
-        raise TypeError(f"no input: {type(item).__name__}")
+        raise TypeError(f"unknown input type {type(item).__name__}")
 
     @_handle.register
     def _(self, item: _Deliver):
@@ -337,12 +339,12 @@
             )
             return []
         if item.term not in (None, self._raft.term):
-            # Failure: a change waits here while this member loses the lead and wins it
-            # again. Symptom: what was decided before another leader's grants still
-            # takes effect after them. Enough: a decision counts in its own term only.
+            # While a change waits in the queue, this member may lose the leadership and
+            # win it again. A change decided before another leader's grants would then
+            # take effect after them, so it is valid only in the term of its decision.
             item.future.set_exception(
                 TamarackhavenError(
-                    ErrorKind.NO_QUORUM, f"term {item.term} is over", 0.1
+                    ErrorKind.NO_QUORUM, f"term {item.term} has ended", 0.1
                 )
             )
             return []
@@ -372,14 +374,14 @@
         return []
 
     def _carry_out(self, outputs):
-        """Sync all writes at once, then send, apply and answer in order."""
+        """Sync all writes at once, then send, apply and answer reads in order."""
         while outputs:
             writes = [write for output in outputs for write in output.writes]
             following = []
             if writes:
-                # Failure: an answer leaves before its write is synced, and the VM
-                # stops. Symptom: a vote is given twice, or an acknowledged entry is
-                # gone. Enough: nothing below runs unless this has returned.
+                # If a reply were sent before its write is synced, a crash of the VM
+                # could make it vote twice in a term or lose an acknowledged entry.
+                # Nothing below runs unless this call has returned.
                 self._storage.write(writes)
                 following = [self._raft.persisted(writes, self._now)]
             for output in outputs:
@@ -415,4 +417,4 @@
 
 
 def _stopped():
-    return TamarackhavenError(ErrorKind.NO_QUORUM, "the member has stopped")
+    return TamarackhavenError(ErrorKind.NO_QUORUM, "this member has stopped")
--- a/tamarackhaven/_consensus_waiting.py
+++ b/tamarackhaven/_consensus_waiting.py
@@ -1,4 +1,4 @@
-"""Who waits for which log entry, and for which linearizable read."""
+"""Futures of the requests that wait for a log entry or a linearizable read."""
 
 import itertools
 
@@ -17,7 +17,7 @@
 
 
 class Waiting:
-    """The open futures of one member; used by its thread only."""
+    """Pending futures of one member; used on the member's thread only."""
 
     def __init__(self):
         self._proposal_by_index = {}
@@ -28,27 +28,30 @@
 
     @property
     def entry_count(self):
-        """Number of entries that someone waits for."""
+        """Number of entries with a pending future."""
         return len(self._proposal_by_index)
 
     def add_entry(self, index, term, future):
-        """Wait for entry ``index`` of ``term``."""
+        """Let ``future`` wait for entry ``index`` of ``term``."""
         self._proposal_by_index[index] = _Proposal(term, future)
 
     def finish_entry(self, entry, result):
-        """Answer whoever waits for a committed entry."""
+        """Complete the future that waits for a committed entry with ``result``."""
         proposal = self._proposal_by_index.pop(entry.index, None)
         if proposal is None:
             return
-        # Failure: another leader's entry took the index. Symptom: a caller would get
-        # the outcome of another's change. Enough: index and term name one entry.
+        # Another leader's entry may have the same index; the caller would get the
+        # outcome of another change. Index and term together identify one entry.
         if proposal.term == entry.term:
             proposal.future.set_result(result)
         else:
             proposal.future.set_exception(_unconfirmed())
 
     def leave_terms_but(self, term):
-        """Answer those whose entry this member no longer follows as a leader."""
+        """Fail the futures of entries of other terms than ``term``.
+
+        Their outcome is unknown to this member, which no longer leads in their term.
+        """
         left = [
             index
             for index, proposal in self._proposal_by_index.items()
@@ -59,26 +62,26 @@
 
     @property
     def has_new_reads(self):
-        """Whether reads wait that no round was started for."""
+        """Whether reads are pending for which no heartbeat round was started."""
         return bool(self._new_reads)
 
     def add_read(self, future):
-        """Let a read wait for the next round."""
+        """Let a read wait for the next heartbeat round."""
         self._new_reads.append(future)
 
     def start_reads(self):
-        """Return a token for all new reads, which one round confirms."""
+        """Return one token for all new reads, which one heartbeat round confirms."""
         self._token += 1
         self._futures_by_token[self._token] = self._new_reads
         self._new_reads = []
         return self._token
 
     def confirm_read(self, ready: ReadReady):
-        """Note the index that a read has to wait for."""
+        """Record the index that confirmed reads have to wait for."""
         self._ready.append(ready)
 
     def finish_reads(self, applied):
-        """Answer the confirmed reads whose index is applied."""
+        """Complete the confirmed reads whose index is at most ``applied``."""
         for ready in self._ready:
             if ready.index <= applied:
                 for future in self._futures_by_token.pop(ready.token):
@@ -86,20 +89,22 @@
         self._ready = [ready for ready in self._ready if ready.index > applied]
 
     def drop_reads(self, tokens):
-        """Refuse reads that can't be confirmed."""
+        """Fail reads that can't be confirmed with NO_QUORUM."""
         for token in tokens:
             for future in self._futures_by_token.pop(token):
                 future.set_exception(
                     TamarackhavenError(
-                        ErrorKind.NO_QUORUM, "not the leader", NO_QUORUM_RETRY_S
+                        ErrorKind.NO_QUORUM,
+                        "this member is not the leader",
+                        NO_QUORUM_RETRY_S,
                     )
                 )
 
     def fail_all(self, error):
-        """Answer all: reads with ``error``, entries with CHANGE_UNCONFIRMED.
+        """Fail all futures: reads with ``error``, entries with CHANGE_UNCONFIRMED.
 
-        An entry in the log may have reached others, or this disk in spite of a failed
-        sync; to answer with a kind that says it did not run could be untrue.
+        An entry in the log may have reached other members, or this disk despite a
+        failed sync, so an error that denies that it ran could be wrong.
         """
         self.start_reads()
         for future in itertools.chain.from_iterable(self._futures_by_token.values()):
@@ -111,5 +116,5 @@
         self._proposal_by_index.clear()
 
 
-def _unconfirmed(detail="leadership was lost"):
+def _unconfirmed(detail="this member lost the leadership"):
     return TamarackhavenError(ErrorKind.CHANGE_UNCONFIRMED, detail)
--- a/tamarackhaven/_files.py
+++ b/tamarackhaven/_files.py
@@ -1,4 +1,4 @@
-"""File operations that report every failure, for all that must survive."""
+"""File operations for durable data, which report every failure."""
 
 import errno
 import os
@@ -9,26 +9,26 @@
 
 
 class Files:
-    """The operating system's file operations; tests put failures in their place."""
+    """File operations of the operating system; tests override them to fail."""
 
     def open(self, path, flags):
-        """Open a file for this user only; return its descriptor."""
+        """Open a file, readable by this user only, and return its descriptor."""
         return os.open(path, flags | os.O_CLOEXEC, 0o600)
 
     def write(self, descriptor, data):
-        """Write some of ``data``; return how many bytes."""
+        """Write a part of ``data`` and return the number of bytes written."""
         return os.write(descriptor, data)
 
     def sync(self, descriptor):
-        """Return once the file's data and length are on the disk."""
+        """Flush the file's data and length to the disk."""
         os.fdatasync(descriptor)
 
     def truncate(self, descriptor, length):
-        """Cut the file to ``length`` bytes."""
+        """Truncate the file to ``length`` bytes."""
         os.ftruncate(descriptor, length)
 
     def rename(self, old, new):
-        """Put ``old`` in the place of ``new``, atomically."""
+        """Atomically rename ``old`` to ``new``, which is replaced if it exists."""
         os.rename(old, new)
 
     def remove(self, path):
@@ -41,30 +41,36 @@
 
 
 def as_error(error, path):
-    """Return the project's error for an ``OSError`` of a write or a sync."""
+    """Return DISK_FULL or SYNC_FAILED for an ``OSError`` of a file operation."""
     is_full = error.errno in _DISK_FULL
     kind = ErrorKind.DISK_FULL if is_full else ErrorKind.SYNC_FAILED
     return TamarackhavenError(kind, f"{path}: {error.strerror}")
 
 
 def write_all(files, descriptor, data):
-    """Write all of ``data``, in several calls if the system takes less at once.
+    """Write all of ``data``, in several calls if the system writes only a part.
 
     Raises
     ------
     OSError
-        As the system reports; also if it takes nothing.
+        As the operating system reports it; EIO if a call writes nothing.
     """
     rest = memoryview(data)
     while rest:
         count = files.write(descriptor, rest)
         if count <= 0:
-            raise OSError(errno.EIO, "write took no byte")
+            raise OSError(errno.EIO, "write wrote 0 bytes")
         rest = rest[count:]
 
 
 def sync_folder(files, folder):
-    """Make the names in a folder durable."""
+    """Sync a folder, which makes the names of its files durable.
+
+    Raises
+    ------
+    OSError
+        As the operating system reports it.
+    """
     descriptor = files.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         files.sync(descriptor)
@@ -73,16 +79,15 @@
 
 
 def replace(files, path, data):
-    """Put a file with ``data`` at ``path``, whole or not at all.
+    """Atomically replace the file at ``path`` by one with ``data``.
 
     Raises
     ------
     TamarackhavenError
-        SYNC_FAILED or DISK_FULL; ``path`` then holds the old data or the new.
+        SYNC_FAILED or DISK_FULL; ``path`` then holds either the old or the new data.
     """
-    # Failure: the VM stops amid the replacement. Symptom: half a file under the name.
-    # Enough: the new file is synced before it gets the name, and the name before
-    # the caller goes on.
+    # A crash during the replacement must not leave a partial file under the name. The
+    # new file is synced before it is renamed, and the folder before this returns.
     temporary = path.with_name(path.name + ".tmp")
     try:
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
--- a/tamarackhaven/_machine.py
+++ b/tamarackhaven/_machine.py
@@ -1,7 +1,7 @@
-"""The state machine under the replicated log: state, history, and who waits for it.
+"""State machine of a control VM: applied state, event history and listeners.
 
-The consensus worker applies entries; calls from daemons and operators read. One lock
-keeps the two apart, so a reader never sees half of an entry.
+The consensus thread applies entries; calls from daemons and operators read. One lock
+covers both, so a reader never sees a partly applied entry.
 """
 
 import threading
@@ -19,12 +19,12 @@
 
 
 class Machine:
-    """Applied state of one control VM.
+    """Applied state and event history of one control VM.
 
     Parameters
     ----------
     membership : Membership
-        The group at its first start.
+        The consensus group at its first start.
     """
 
     def __init__(self, membership):
@@ -45,7 +45,7 @@
         return self._membership
 
     def on_applied(self, listener):
-        """Call ``listener(version)`` after each applied entry, on the worker thread."""
+        """Call ``listener(version)`` after each entry, on the consensus thread."""
         self._listeners.append(listener)
 
     def apply(self, entry):
@@ -68,12 +68,12 @@
         return Outcome(version=entry.index), []
 
     def snapshot(self):
-        """Return the state as bytes."""
+        """Return the state as JSON bytes."""
         with self.lock:
             return _codec.dumps(self.state.snapshot(), StateSnapshot)
 
     def restore(self, snapshot):
-        """Replace the state by a ``Snapshot`` of the log; index 0 is an empty one."""
+        """Replace the state by a ``Snapshot`` of the log; at index 0 it is empty."""
         with self.lock:
             self._membership = snapshot.membership
             if snapshot.data:
@@ -85,7 +85,11 @@
         self._tell(snapshot.index)
 
     def feed(self, from_version):
-        """Return the ``Feed`` for a watcher; one at version 0 knows no members yet."""
+        """Return the ``Feed`` for a watcher that has applied ``from_version``.
+
+        It holds the whole state if the watcher is at version 0, where it doesn't know
+        the members yet, or if the events since are not kept or too many.
+        """
         with self.lock:
             version = self.history.version
             events = None if from_version == 0 else self.history.since(from_version)
--- a/tamarackhaven/_record.py
+++ b/tamarackhaven/_record.py
@@ -1,7 +1,7 @@
-"""Checksummed records in files, and how consensus writes are kept in them.
+"""File format of checksummed records, and the encoding of consensus writes in them.
 
-A file is a header and then records. One call to storage makes one record, so that a
-write cut short by a crash leaves at most one bad record, at the end.
+A file is a header followed by records. Each call to storage appends one record, so that
+a write interrupted by a crash leaves at most one invalid record, at the end.
 """
 
 import itertools
@@ -28,25 +28,25 @@
 _HEADER = struct.Struct(">6sH")
 _FILE_MARK = b"THAVEN"
 _RECORD_MARK = b"\xf1REC"
-_FRAME = struct.Struct(">4sII")  # mark, length of the body, checksum of both
-_PART = struct.Struct(">BI")  # kind of a write, length of its body
+_FRAME = struct.Struct(">4sII")  # mark, body length in bytes, checksum of both
+_PART = struct.Struct(">BI")  # kind of a write, length of its body in bytes
 _TERM = struct.Struct(">Q")
 _ENTRY = struct.Struct(">QQB")  # index, term, kind
-_SNAPSHOT = struct.Struct(">QQI")  # index, term, length of the membership
+_SNAPSHOT = struct.Struct(">QQI")  # index, term, membership length in bytes
 
 HEADER = _HEADER.pack(_FILE_MARK, FORMAT_VERSION)
 
 
 @attrs.frozen
 class Scan:
-    """The bodies of the valid records of a file, and where the last one ends."""
+    """Valid record bodies of a file; ``end`` is the offset after the last record."""
 
     bodies: tuple[bytes, ...]
     end: int
 
 
 def record(body):
-    """Return ``body`` framed with its length and checksum."""
+    """Return ``body`` as a record, with its length and checksum."""
     return _FRAME.pack(_RECORD_MARK, len(body), _checksum(body)) + body
 
 
@@ -55,14 +55,16 @@
 
 
 def scan(data, path):
-    """Read all records of a file.
+    """Read all records of the file content ``data``.
 
-    A bad record with a valid one after it is damage; one without is a torn tail.
+    An invalid record with a valid one after it is damage; without one it is a torn tail
+    and ends the scan.
 
     Raises
     ------
     TamarackhavenError
-        FORMAT_UNKNOWN, or LOG_DAMAGED with the file and the offset.
+        FORMAT_UNKNOWN for another format version; LOG_DAMAGED, with the file and the
+        offset in bytes.
     """
     _check_header(data, path)
     bodies = []
@@ -88,7 +90,7 @@
 
 
 def _body_at(data, offset):
-    """Return the body of the record at ``offset``, None if it isn't valid."""
+    """Return the body of the record at ``offset``, or None if it isn't valid."""
     start = offset + _FRAME.size
     if start > len(data):
         return None
@@ -101,9 +103,9 @@
 
 
 def _refuse_damage(data, offset, path):
-    # Failure: a synced record has gone bad. Symptom: cut like a torn tail, it would
-    # take acknowledged entries and a vote with it. Enough: each record is synced
-    # before the next is written, so what a crash tears has no valid record after it.
+    # If a damaged record were truncated like a torn tail, acknowledged entries and a
+    # vote would be lost with it. Each record is synced before the next is written, so
+    # a record torn by a crash has no valid record after it.
     candidate = data.find(_RECORD_MARK, offset + 1)
     while candidate >= 0:
         if _body_at(data, candidate) is not None:
@@ -112,11 +114,11 @@
 
 
 def damaged(path, offset):
-    """Return the error for a damaged file."""
+    """Return the LOG_DAMAGED error for a file, with the offset in bytes."""
     return TamarackhavenError(ErrorKind.LOG_DAMAGED, f"{path} at offset {offset}")
 
 
-# Consensus writes.
+# Encoding of consensus writes.
 
 _KIND_HARD_STATE = 1
 _KIND_ENTRY = 2
@@ -124,7 +126,7 @@
 
 
 def pack(writes):
-    """Return the body of one record with all of ``writes``."""
+    """Return the body of one record that holds all of ``writes``."""
     return b"".join(itertools.chain.from_iterable(_parts(write) for write in writes))
 
 
@@ -135,7 +137,7 @@
 
 @singledispatch
 def _parts(write):
-    raise TypeError(f"no write: {type(write).__name__}")
+    raise TypeError(f"unknown write type {type(write).__name__}")
 
 
 @_parts.register
@@ -160,7 +162,7 @@
 
 
 def unpack(body):
-    """Return the writes in one record; each entry as a write of its own."""
+    """Return the writes in a record body, with one ``WriteEntries`` per entry."""
     offset = 0
     writes = []
     while offset < len(body):
--- a/tamarackhaven/_storage.py
+++ b/tamarackhaven/_storage.py
@@ -1,8 +1,8 @@
-"""What one member of the consensus group keeps on disk, in one data folder.
+"""Durable storage of one consensus member, in one data folder.
 
-``identity`` says whose folder it is. ``log-N`` starts with a snapshot, the term and
-vote, and the entries after the snapshot; later writes are appended. A new snapshot
-makes a new file, so that a snapshot and its log are one and can't be mixed up.
+``identity`` names the member that owns the folder. ``log-N`` starts with a snapshot,
+the term and vote, and the entries after the snapshot; later writes are appended. Each
+new snapshot starts a new file, so that a snapshot can't be combined with another log.
 """
 
 import contextlib
@@ -30,14 +30,14 @@
 
 @attrs.frozen
 class Identity:
-    """Whose folder it is.
+    """Owner of a data folder.
 
     Parameters
     ----------
     name : str
         The member's name.
     folder_id : str
-        Random; another first start gets another one.
+        Random id; every first start generates a new one.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Recovered:
-    """What was synced before the last stop; no snapshot in a new folder."""
+    """State recovered from a folder; ``snapshot`` is None if the folder is new."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -55,7 +55,7 @@
 
 @attrs.define
 class _State:
-    """The state that the writes of a log file add up to."""
+    """State that results from the writes of a log file."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -77,7 +77,7 @@
         self.entries.extend(entries)
 
     def _replace(self, snapshot):
-        """Keep the entries after the snapshot only if they continue it."""
+        """Set the snapshot; keep the entries after it only if they continue it."""
         terms = {entry.index: entry.term for entry in self.entries}
         continues = terms.get(snapshot.index) == snapshot.term
         after = [entry for entry in self.entries if entry.index > snapshot.index]
@@ -85,7 +85,7 @@
         self.snapshot = snapshot
 
     def base(self):
-        """Return the writes that a new file starts with."""
+        """Return the writes at the start of a new file."""
         writes = [WriteSnapshot(self.snapshot), WriteHardState(self.hard_state)]
         if self.entries:
             writes.append(WriteEntries(tuple(self.entries)))
@@ -93,11 +93,11 @@
 
 
 class Storage:
-    """One open data folder; use ``Storage.open``.
+    """An open data folder; call ``Storage.open`` to get one.
 
-    After a failed write or sync, every later call fails with the same error: what
-    the disk holds is not known any more, and a repeated sync may claim success for
-    data that the system has already dropped.
+    After a failed write or sync, every later call fails with the same error: the
+    content of the disk is unknown, and a repeated sync may report success for data
+    that the operating system has already dropped.
     """
 
     def __init__(self, folder, files, lock):
@@ -114,7 +114,7 @@
 
     @classmethod
     def open(cls, folder, files=None):
-        """Open, lock and recover a data folder; make it if it isn't there.
+        """Open, lock and recover a data folder; create it if it doesn't exist.
 
         Raises
         ------
@@ -134,21 +134,27 @@
 
     @property
     def is_new(self):
-        """Whether the folder holds no member yet.
+        """Whether the folder has no member yet.
 
-        A member that has voted before must not start from a new folder under its old
-        name: it has forgotten its promises.
+        A member that has voted must not restart with a new folder under its old name,
+        because its term and vote are lost and it could vote twice.
         """
         return self.identity is None
 
     @property
     def recovered(self):
-        """What the folder holds, as ``Recovered``."""
+        """Present content of the folder, as ``Recovered``."""
         state = self._state
         return Recovered(state.hard_state, state.snapshot, tuple(state.entries))
 
     def create(self, identity, snapshot):
-        """Make a new folder the one of ``identity``, starting at ``snapshot``."""
+        """Initialize a new folder for ``identity``, with ``snapshot``.
+
+        Raises
+        ------
+        TamarackhavenError
+            ALREADY_EXISTS if the folder has a member; SYNC_FAILED or DISK_FULL.
+        """
         self._refuse_after_failure()
         if not self.is_new:
             raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, str(self._folder))
@@ -165,16 +171,18 @@
         self.identity = identity
 
     def write(self, writes):
-        """Append and sync ``writes``; durable when this returns.
+        """Append and sync ``writes``, which are durable when this returns.
 
         Raises
         ------
         TamarackhavenError
-            SYNC_FAILED or DISK_FULL, and again at every later call.
+            SYNC_FAILED or DISK_FULL, now and at every later call.
         """
         self._refuse_after_failure()
         if self.is_new:
-            raise TamarackhavenError(ErrorKind.INTERNAL, "the folder has no member")
+            raise TamarackhavenError(
+                ErrorKind.INTERNAL, "the data folder has no member yet"
+            )
         with self._failing():
             self._state.take(writes)
             if any(isinstance(write, WriteSnapshot) for write in writes):
@@ -183,7 +191,7 @@
                 self._append(_record.record(_record.pack(writes)))
 
     def close(self):
-        """Give the folder free for another process."""
+        """Close the files and release the lock of the folder."""
         for descriptor in (self._descriptor, self._lock):
             if descriptor is not None:
                 os.close(descriptor)
@@ -192,7 +200,7 @@
             ErrorKind.INTERNAL, "the storage is closed"
         )
 
-    # Writing.
+    # Writes.
 
     def _refuse_after_failure(self):
         if self._failure:
@@ -200,7 +208,7 @@
 
     @contextlib.contextmanager
     def _failing(self):
-        """Refuse every later call after an error in this block."""
+        """Keep an error raised in this block, so that every later call raises it."""
         try:
             yield
         except BaseException as error:
@@ -218,7 +226,7 @@
         self.sync_count += 1
 
     def _start_file(self):
-        """Write the whole state as a new file and drop the old one."""
+        """Write the whole state to a new file and remove the old one."""
         base = _record.record(_record.pack(self._state.base()))
         old = self._number
         path = self._path(old + 1)
@@ -231,8 +239,8 @@
             self._remove(self._path(old))
 
     def _sync_parent(self):
-        # Failure: the VM stops and the new folder's name was never synced. Symptom:
-        # a member that has voted comes back with an empty folder.
+        # Without this sync the name of the new folder may be lost in a crash of the
+        # VM, and a member that has voted would restart with an empty folder.
         try:
             _files.sync_folder(self._files, self._folder.parent)
         except OSError as error:
@@ -272,7 +280,7 @@
         self.identity = identity
 
     def _drop_unfinished(self, paths):
-        """Remove what a crash amid ``create`` left; nothing was promised yet."""
+        """Remove the log of an interrupted ``create``; the member hasn't voted yet."""
         if not paths:
             return
         found = _record.scan(paths[-1].read_bytes(), paths[-1])
@@ -305,7 +313,7 @@
             self._cut(path, found.end)
 
     def _cut(self, path, length):
-        """Cut a torn tail, so that later records follow a valid one."""
+        """Truncate a torn tail, so that later records follow a valid one."""
         try:
             self._files.truncate(self._descriptor, length)
             self._files.sync(self._descriptor)
@@ -314,7 +322,13 @@
 
 
 def _lock(folder):
-    """Lock a folder for this process; return the descriptor that holds the lock."""
+    """Lock a folder for this process; return the descriptor that holds the lock.
+
+    Raises
+    ------
+    TamarackhavenError
+        FOLDER_LOCKED if another process holds the lock.
+    """
     path = folder / _LOCK
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
