--- a/tamarackhaven/_consensus.py
+++ b/tamarackhaven/_consensus.py
@@ -12,30 +12,30 @@
 
 import attrs
 
-from tamarackhaven._consensus_waiting import Waiting
+from tamarackhaven._consensus_waiting import PendingRequests
 from tamarackhaven._members import Membership, Step
 from tamarackhaven._raft import Raft, Role
 from tamarackhaven._raft_messages import Message, Snapshot
 from tamarackhaven._storage import Identity
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# Load: many writers at once. Harm: one sync each would bound the group to a few
-# thousand commits a second; an endless batch would hold back heartbeats. Limit: a
-# thousand inputs are handled well within one heartbeat.
-MAX_BATCH = 1024
-# The queue is read at least this often within a heartbeat, so that a tick is late by
-# a small part of it only.
+# All inputs of a batch share one sync. With one sync each, the disk would limit the
+# group to a few thousand commits a second; an unbounded batch would delay heartbeats.
+# A thousand inputs are handled well within one heartbeat interval.
+MAX_INPUTS_PER_BATCH = 1024
+# Ticks per heartbeat interval, so that a tick is late by at most a small part of it.
 TICKS_PER_HEARTBEAT = 4
-# Load: long commands. Harm: the log outgrows the disk before ``snapshot_entries`` is
-# reached. Limit: the larger of this and twice the snapshot, so that rewriting a large
-# state stays rare.
-COMPACT_BYTES = 8 << 20
-# Load: more changes than the disks can sync, as after an availability zone's return.
-# Harm: a queue without end; each change would wait longer than its caller does, and
-# the log in memory would grow. Limit: about two seconds of the commits measured with
-# many writers; beyond it a caller hears at once that its change is not in the log.
-MAX_WAITING = 4096
-BUSY_RETRY_S = 0.5
+# With long commands the log could fill the disk before ``snapshot_entries`` is reached.
+# It is also compacted above the larger of this and twice the snapshot, so that a large
+# state is rewritten rarely.
+MIN_COMPACTION_BYTES = 8 << 20
+# More changes may arrive than the disks can sync, as after an availability zone's
+# return. Without a limit each change would wait longer than its caller does, and the
+# log in memory would grow. The limit is about two seconds of commits at the rate
+# reached with many writers; beyond it a caller gets an error at once that says that its
+# change isn't in the log.
+MAX_PENDING_CHANGES = 4096
+BUSY_RETRY_AFTER_S = 0.5
 
 
 @attrs.frozen
@@ -133,15 +133,15 @@
         self._prepare_storage(membership_at_first_start, rng)
         self._raft = self._recover(rng)
         self._tick_s = settings.heartbeat_ms / 1000 / TICKS_PER_HEARTBEAT
-        self._tick_due = clock()
+        self._tick_due_s = clock()
         self._queue = queue.SimpleQueue()
         self._inputs = collections.deque()
-        self._waiting = Waiting()
+        self._pending = PendingRequests()
         self._error = None
         self._is_stopping = False
         self._executor = None
-        self._thread_done = None
-        self._status = self._describe()
+        self._thread_future = None
+        self._status = self._make_status()
 
     def _prepare_storage(self, membership, rng):
         storage = self._storage
@@ -178,7 +178,7 @@
         self._executor = concurrent.futures.ThreadPoolExecutor(
             1, thread_name_prefix=f"consensus-{self._name}"
         )
-        self._thread_done = self._executor.submit(self._run)
+        self._thread_future = self._executor.submit(self._run)
 
     def stop(self):
         """Stop the thread, close the storage and fail all pending requests."""
@@ -186,7 +186,7 @@
         if self._executor:
             self._executor.shutdown(wait=True)
         else:
-            self._finish(_stopped())
+            self._close(_stopped_error())
 
     def deliver(self, messages):
         """Queue messages from other members."""
@@ -211,11 +211,11 @@
             and may still be committed, or with the fatal error if it was never
             appended. Callbacks run on the member's thread and must not block.
         """
-        return self._ask(_Propose, command, term)
+        return self._submit(_Propose, command, term)
 
     def change_membership(self, step):
         """Append one membership change to the log; see ``propose``."""
-        return self._ask(_ChangeMembership, step)
+        return self._submit(_ChangeMembership, step)
 
     def read(self):
         """Wait until all entries committed before this call are applied.
@@ -226,21 +226,21 @@
             The applied index. Fails with NO_QUORUM if this member isn't the leader,
             or with the fatal error if the member has stopped.
         """
-        return self._ask(_Read)
+        return self._submit(_Read)
 
-    def _ask(self, kind, *values):
+    def _submit(self, kind, *values):
         future = concurrent.futures.Future()
         future.set_running_or_notify_cancel()
         self._queue.put(kind(*values, future))
         if self._error:
-            self._refuse_queued()
+            self._fail_queued()
         return future
 
     def status(self):
         """Return the ``Status`` after the last batch of inputs."""
         return self._status
 
-    def _describe(self):
+    def _make_status(self):
         raft = self._raft
         return Status(
             name=self._name,
@@ -255,67 +255,67 @@
     # Called on the member's thread.
 
     def _run(self):
-        error = _stopped()
+        error = _stopped_error()
         fatal = None
         try:
             while not self._is_stopping:
-                self._turn()
+                self._run_batch()
         except TamarackhavenError as caught:
             error = fatal = caught
         except Exception as caught:
             error = fatal = TamarackhavenError(ErrorKind.INTERNAL, repr(caught))
             fatal.__cause__ = caught
-        self._finish(error)
+        self._close(error)
         if fatal:
             self._on_fatal(fatal)
 
-    def _finish(self, error):
+    def _close(self, error):
         """Close the storage; fail all pending and later requests with ``error``."""
         self._error = error
         self._status = attrs.evolve(self._status, role=Role.FOLLOWER, leader="")
         self._storage.close()
-        self._waiting.fail_all(error)
+        self._pending.fail_all(error)
         for item in self._inputs:
-            self._refuse(item)
+            self._fail_input(item)
         self._inputs.clear()
-        self._refuse_queued()
+        self._fail_queued()
 
-    def _refuse_queued(self):
+    def _fail_queued(self):
         with contextlib.suppress(queue.Empty):
             while True:
-                self._refuse(self._queue.get_nowait())
+                self._fail_input(self._queue.get_nowait())
 
-    def _refuse(self, item):
+    def _fail_input(self, item):
         if isinstance(item, _Propose | _ChangeMembership | _Read):
             item.future.set_exception(self._error)
 
-    def _turn(self):
+    def _run_batch(self):
         """Process one batch of inputs with one sync."""
-        self._take_inputs()
+        self._collect_inputs()
         self._now = self._clock()
         outputs = []
         while self._inputs:
             outputs.extend(self._handle(self._inputs.popleft()))
-        if self._now >= self._tick_due:
+        if self._now >= self._tick_due_s:
             # After a sync that took longer than an election timeout, heartbeats wait in
             # the queue. A follower that checked its election timeout before them would
             # start a needless election, so the tick comes last.
-            self._tick_due = self._now + self._tick_s
+            self._tick_due_s = self._now + self._tick_s
             outputs.append(self._raft.tick(self._now))
-        if self._waiting.has_new_reads:
+        if self._pending.has_new_reads:
             # All reads of a batch share one heartbeat round.
-            token = self._waiting.start_reads()
+            token = self._pending.start_read_round()
             outputs.append(self._raft.read(token, self._now))
-        self._carry_out(outputs)
+        self._process_outputs(outputs)
         self._compact_if_large()
-        self._waiting.leave_terms_but(self._leading_term())
-        self._status = self._describe()
+        self._pending.fail_other_terms(self._leading_term())
+        self._status = self._make_status()
 
-    def _take_inputs(self):
-        wait_s = max(self._tick_due - self._clock(), 0.0)
+    def _collect_inputs(self):
+        wait_s = max(self._tick_due_s - self._clock(), 0.0)
         with contextlib.suppress(queue.Empty):
             self._inputs.append(self._queue.get(timeout=min(wait_s, self._tick_s)))
-            while len(self._inputs) < MAX_BATCH:
+            while len(self._inputs) < MAX_INPUTS_PER_BATCH:
                 self._inputs.append(self._queue.get_nowait())
 
     def _leading_term(self):
@@ -331,10 +331,12 @@
 
     @_handle.register
     def _(self, item: _Propose):
-        if self._waiting.entry_count >= MAX_WAITING:
+        if self._pending.proposal_count >= MAX_PENDING_CHANGES:
             item.future.set_exception(
                 TamarackhavenError(
-                    ErrorKind.CONTROL_BUSY, f"{MAX_WAITING} changes", BUSY_RETRY_S
+                    ErrorKind.CONTROL_BUSY,
+                    f"{MAX_PENDING_CHANGES} changes are pending already",
+                    BUSY_RETRY_AFTER_S,
                 )
             )
             return []
@@ -348,24 +350,24 @@
                 )
             )
             return []
-        return self._append(self._raft.propose, item.command, item.future)
+        return self._append_entry(self._raft.propose, item.command, item.future)
 
     @_handle.register
     def _(self, item: _ChangeMembership):
-        return self._append(self._raft.change_membership, item.step, item.future)
+        return self._append_entry(self._raft.change_membership, item.step, item.future)
 
-    def _append(self, method, value, future):
+    def _append_entry(self, method, value, future):
         try:
             index, term, output = method(value, self._now)
         except TamarackhavenError as error:
             future.set_exception(error)
             return []
-        self._waiting.add_entry(index, term, future)
+        self._pending.add_proposal(index, term, future)
         return [output]
 
     @_handle.register
     def _(self, item: _Read):
-        self._waiting.add_read(item.future)
+        self._pending.add_read(item.future)
         return []
 
     @_handle.register
@@ -373,22 +375,22 @@
         self._is_stopping = True
         return []
 
-    def _carry_out(self, outputs):
+    def _process_outputs(self, outputs):
         """Sync all writes at once, then send, apply and answer reads in order."""
         while outputs:
             writes = [write for output in outputs for write in output.writes]
-            following = []
+            next_outputs = []
             if writes:
                 # If a reply were sent before its write is synced, a crash of the VM
                 # could make it vote twice in a term or lose an acknowledged entry.
                 # Nothing below runs unless this call has returned.
                 self._storage.write(writes)
-                following = [self._raft.persisted(writes, self._now)]
+                next_outputs = [self._raft.persisted(writes, self._now)]
             for output in outputs:
-                self._finish_output(output)
-            outputs = following
+                self._process_output(output)
+            outputs = next_outputs
 
-    def _finish_output(self, output):
+    def _process_output(self, output):
         if output.messages:
             self._send(output.messages)
         if output.restored:
@@ -398,23 +400,23 @@
         for entry in output.committed:
             result = self._machine.apply(entry)
             self._applied = entry.index
-            self._waiting.finish_entry(entry, result)
+            self._pending.complete_proposal(entry, result)
         for ready in output.reads:
-            self._waiting.confirm_read(ready)
-        self._waiting.drop_reads(output.dropped_reads)
-        self._waiting.finish_reads(self._applied)
+            self._pending.confirm_read(ready)
+        self._pending.fail_reads(output.dropped_reads)
+        self._pending.complete_reads(self._applied)
 
     def _compact_if_large(self):
         entries = self._applied - self._raft.snapshot_index
-        limit = max(COMPACT_BYTES, 2 * self._snapshot_bytes)
+        limit = max(MIN_COMPACTION_BYTES, 2 * self._snapshot_bytes)
         is_large = self._storage.log_bytes > limit and entries > 0
         if not is_large and entries < self._settings.snapshot_entries:
             return
         data = self._machine.snapshot()
         self._snapshot_bytes = len(data)
         snapshot = self._raft.snapshot_at(self._applied, data)
-        self._carry_out([self._raft.compacted(snapshot)])
+        self._process_outputs([self._raft.compacted(snapshot)])
 
 
-def _stopped():
+def _stopped_error():
     return TamarackhavenError(ErrorKind.NO_QUORUM, "this member has stopped")
--- a/tamarackhaven/_feed_wire.py
+++ b/tamarackhaven/_feed_wire.py
@@ -2,7 +2,7 @@
 
 At 65,536 shards a first feed is 14 MB of JSON and, as records all at once, 79 MB, more
 than a daemon may use. Packed it is a sixteenth; read in parts it is never whole in
-memory. A delta keeps to ``DELTA_EVENTS_MAX``, since its reader needs it whole.
+memory. A delta keeps to ``MAX_DELTA_EVENTS``, since its reader needs it whole.
 """
 
 import itertools
@@ -15,7 +15,7 @@
 # A part is some 100 KB of text and 600 KB as records.
 PART_EVENTS = 512
 # As records some 10 MB; a watcher that is further behind gets a snapshot.
-DELTA_EVENTS_MAX = 8192
+MAX_DELTA_EVENTS = 8192
 _READ_BYTES = 64 * 1024
 _LEVEL = 1
 _END = b"\n"
--- a/tamarackhaven/_files.py
+++ b/tamarackhaven/_files.py
@@ -5,7 +5,7 @@
 
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-_DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Files:
@@ -40,9 +40,9 @@
         os.close(descriptor)
 
 
-def as_error(error, path):
+def error_of(error, path):
     """Return DISK_FULL or SYNC_FAILED for an ``OSError`` of a file operation."""
-    is_full = error.errno in _DISK_FULL
+    is_full = error.errno in _DISK_FULL_ERRNOS
     kind = ErrorKind.DISK_FULL if is_full else ErrorKind.SYNC_FAILED
     return TamarackhavenError(kind, f"{path}: {error.strerror}")
 
@@ -55,12 +55,12 @@
     OSError
         As the operating system reports it; EIO if a call writes nothing.
     """
-    rest = memoryview(data)
-    while rest:
-        count = files.write(descriptor, rest)
+    remaining = memoryview(data)
+    while remaining:
+        count = files.write(descriptor, remaining)
         if count <= 0:
             raise OSError(errno.EIO, "write wrote 0 bytes")
-        rest = rest[count:]
+        remaining = remaining[count:]
 
 
 def sync_folder(files, folder):
@@ -100,4 +100,4 @@
         files.rename(temporary, path)
         sync_folder(files, path.parent)
     except OSError as error:
-        raise as_error(error, path) from error
+        raise error_of(error, path) from error
--- a/tamarackhaven/_machine.py
+++ b/tamarackhaven/_machine.py
@@ -11,7 +11,7 @@
 from tamarackhaven import _codec
 from tamarackhaven._changes import Outcome
 from tamarackhaven._events import MembershipChanged
-from tamarackhaven._feed_wire import DELTA_EVENTS_MAX
+from tamarackhaven._feed_wire import MAX_DELTA_EVENTS
 from tamarackhaven._history import Feed, History
 from tamarackhaven._members import Membership
 from tamarackhaven._raft_messages import EntryKind
@@ -53,7 +53,7 @@
         with self.lock:
             outcome, events = self._apply(entry)
             self.history.add(entry.index, events)
-        self._tell(entry.index)
+        self._notify_listeners(entry.index)
         return outcome
 
     def _apply(self, entry):
@@ -82,7 +82,7 @@
                 )
             self.state.version = snapshot.index
             self.history.restart(snapshot.index)
-        self._tell(snapshot.index)
+        self._notify_listeners(snapshot.index)
 
     def feed(self, from_version):
         """Return the ``Feed`` for a watcher that has applied ``from_version``.
@@ -93,11 +93,11 @@
         with self.lock:
             version = self.history.version
             events = None if from_version == 0 else self.history.since(from_version)
-            if events is not None and len(events) <= DELTA_EVENTS_MAX:
+            if events is not None and len(events) <= MAX_DELTA_EVENTS:
                 return Feed(version, False, events)
             members = MembershipChanged(version, self._membership)
             return Feed(version, True, [members, *self.state.as_events()])
 
-    def _tell(self, version):
+    def _notify_listeners(self, version):
         for listener in self._listeners:
             listener(version)
--- a/tamarackhaven/_record.py
+++ b/tamarackhaven/_record.py
@@ -25,16 +25,16 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 FORMAT_VERSION = 1
-_HEADER = struct.Struct(">6sH")
+_FILE_HEADER = struct.Struct(">6sH")
 _FILE_MARK = b"THAVEN"
 _RECORD_MARK = b"\xf1REC"
-_FRAME = struct.Struct(">4sII")  # mark, body length in bytes, checksum of both
-_PART = struct.Struct(">BI")  # kind of a write, length of its body in bytes
-_TERM = struct.Struct(">Q")
-_ENTRY = struct.Struct(">QQB")  # index, term, kind
-_SNAPSHOT = struct.Struct(">QQI")  # index, term, membership length in bytes
+_RECORD_HEADER = struct.Struct(">4sII")  # mark, body length in bytes, checksum of both
+_WRITE_HEADER = struct.Struct(">BI")  # kind of a write, length of its body in bytes
+_HARD_STATE_HEADER = struct.Struct(">Q")
+_ENTRY_HEADER = struct.Struct(">QQB")  # index, term, kind
+_SNAPSHOT_HEADER = struct.Struct(">QQI")  # index, term, membership length in bytes
 
-HEADER = _HEADER.pack(_FILE_MARK, FORMAT_VERSION)
+HEADER = _FILE_HEADER.pack(_FILE_MARK, FORMAT_VERSION)
 
 
 @attrs.frozen
@@ -47,7 +47,7 @@
 
 def record(body):
     """Return ``body`` as a record, with its length and checksum."""
-    return _FRAME.pack(_RECORD_MARK, len(body), _checksum(body)) + body
+    return _RECORD_HEADER.pack(_RECORD_MARK, len(body), _checksum(body)) + body
 
 
 def _checksum(body):
@@ -70,31 +70,31 @@
     bodies = []
     offset = len(HEADER)
     while offset < len(data):
-        body = _body_at(data, offset)
+        body = _read_body(data, offset)
         if body is None:
-            _refuse_damage(data, offset, path)
+            _check_torn_tail(data, offset, path)
             break
         bodies.append(body)
-        offset += _FRAME.size + len(body)
+        offset += _RECORD_HEADER.size + len(body)
     return Scan(tuple(bodies), offset)
 
 
 def _check_header(data, path):
     if len(data) < len(HEADER):
         raise damaged(path, 0)
-    mark, version = _HEADER.unpack_from(data)
+    mark, version = _FILE_HEADER.unpack_from(data)
     if mark != _FILE_MARK:
         raise damaged(path, 0)
     if version != FORMAT_VERSION:
         raise TamarackhavenError(ErrorKind.FORMAT_UNKNOWN, f"{path}: version {version}")
 
 
-def _body_at(data, offset):
+def _read_body(data, offset):
     """Return the body of the record at ``offset``, or None if it isn't valid."""
-    start = offset + _FRAME.size
+    start = offset + _RECORD_HEADER.size
     if start > len(data):
         return None
-    mark, length, checksum = _FRAME.unpack_from(data, offset)
+    mark, length, checksum = _RECORD_HEADER.unpack_from(data, offset)
     body = data[start : start + length]
     is_valid = (
         mark == _RECORD_MARK and len(body) == length and _checksum(body) == checksum
@@ -102,13 +102,13 @@
     return body if is_valid else None
 
 
-def _refuse_damage(data, offset, path):
+def _check_torn_tail(data, offset, path):
     # If a damaged record were truncated like a torn tail, acknowledged entries and a
     # vote would be lost with it. Each record is synced before the next is written, so
     # a record torn by a crash has no valid record after it.
     candidate = data.find(_RECORD_MARK, offset + 1)
     while candidate >= 0:
-        if _body_at(data, candidate) is not None:
+        if _read_body(data, candidate) is not None:
             raise damaged(path, offset)
         candidate = data.find(_RECORD_MARK, candidate + 1)
 
@@ -127,38 +127,40 @@
 
 def pack(writes):
     """Return the body of one record that holds all of ``writes``."""
-    return b"".join(itertools.chain.from_iterable(_parts(write) for write in writes))
+    return b"".join(itertools.chain.from_iterable(_encode(write) for write in writes))
 
 
-def _part(kind, *pieces):
-    body = b"".join(pieces)
-    return _PART.pack(kind, len(body)) + body
+def _encode_item(kind, *chunks):
+    body = b"".join(chunks)
+    return _WRITE_HEADER.pack(kind, len(body)) + body
 
 
 @singledispatch
-def _parts(write):
+def _encode(write):
     raise TypeError(f"unknown write type {type(write).__name__}")
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteHardState):
     state = write.hard_state
-    yield _part(_KIND_HARD_STATE, _TERM.pack(state.term), state.vote.encode())
+    yield _encode_item(
+        _KIND_HARD_STATE, _HARD_STATE_HEADER.pack(state.term), state.vote.encode()
+    )
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteEntries):
     for entry in write.entries:
-        head = _ENTRY.pack(entry.index, entry.term, entry.kind)
-        yield _part(_KIND_ENTRY, head, entry.command)
+        header = _ENTRY_HEADER.pack(entry.index, entry.term, entry.kind)
+        yield _encode_item(_KIND_ENTRY, header, entry.command)
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteSnapshot):
     snapshot = write.snapshot
     membership = _codec.dumps(snapshot.membership, Membership)
-    head = _SNAPSHOT.pack(snapshot.index, snapshot.term, len(membership))
-    yield _part(_KIND_SNAPSHOT, head, membership, snapshot.data)
+    header = _SNAPSHOT_HEADER.pack(snapshot.index, snapshot.term, len(membership))
+    yield _encode_item(_KIND_SNAPSHOT, header, membership, snapshot.data)
 
 
 def unpack(body):
@@ -166,32 +168,34 @@
     offset = 0
     writes = []
     while offset < len(body):
-        kind, length = _PART.unpack_from(body, offset)
-        offset += _PART.size
-        writes.append(_READ_BY_KIND[kind](body[offset : offset + length]))
+        kind, length = _WRITE_HEADER.unpack_from(body, offset)
+        offset += _WRITE_HEADER.size
+        writes.append(_DECODER_BY_KIND[kind](body[offset : offset + length]))
         offset += length
     return writes
 
 
-def _read_hard_state(body):
-    (term,) = _TERM.unpack_from(body)
-    return WriteHardState(HardState(term, body[_TERM.size :].decode()))
+def _decode_hard_state(body):
+    (term,) = _HARD_STATE_HEADER.unpack_from(body)
+    return WriteHardState(HardState(term, body[_HARD_STATE_HEADER.size :].decode()))
 
 
-def _read_entry(body):
-    index, term, kind = _ENTRY.unpack_from(body)
-    return WriteEntries((Entry(index, term, EntryKind(kind), body[_ENTRY.size :]),))
+def _decode_entry(body):
+    index, term, kind = _ENTRY_HEADER.unpack_from(body)
+    return WriteEntries(
+        (Entry(index, term, EntryKind(kind), body[_ENTRY_HEADER.size :]),)
+    )
 
 
-def _read_snapshot(body):
-    index, term, length = _SNAPSHOT.unpack_from(body)
-    start = _SNAPSHOT.size
+def _decode_snapshot(body):
+    index, term, length = _SNAPSHOT_HEADER.unpack_from(body)
+    start = _SNAPSHOT_HEADER.size
     membership = _codec.loads(body[start : start + length], Membership)
     return WriteSnapshot(Snapshot(index, term, membership, body[start + length :]))
 
 
-_READ_BY_KIND = {
-    _KIND_HARD_STATE: _read_hard_state,
-    _KIND_ENTRY: _read_entry,
-    _KIND_SNAPSHOT: _read_snapshot,
+_DECODER_BY_KIND = {
+    _KIND_HARD_STATE: _decode_hard_state,
+    _KIND_ENTRY: _decode_entry,
+    _KIND_SNAPSHOT: _decode_snapshot,
 }
--- a/tamarackhaven/_storage.py
+++ b/tamarackhaven/_storage.py
@@ -54,14 +54,14 @@
 
 
 @attrs.define
-class _State:
+class _LogState:
     """State that results from the writes of a log file."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: list[Entry] = attrs.field(factory=list)
 
-    def take(self, writes):
+    def apply(self, writes):
         for write in writes:
             if isinstance(write, WriteHardState):
                 self.hard_state = write.hard_state
@@ -79,9 +79,9 @@
     def _replace(self, snapshot):
         """Set the snapshot; keep the entries after it only if they continue it."""
         terms = {entry.index: entry.term for entry in self.entries}
-        continues = terms.get(snapshot.index) == snapshot.term
-        after = [entry for entry in self.entries if entry.index > snapshot.index]
-        self.entries = after if continues else []
+        is_continuation = terms.get(snapshot.index) == snapshot.term
+        following = [entry for entry in self.entries if entry.index > snapshot.index]
+        self.entries = following if is_continuation else []
         self.snapshot = snapshot
 
     def base(self):
@@ -106,7 +106,7 @@
         self._lock = lock
         self._descriptor = None
         self._number = 0
-        self._state = _State()
+        self._state = _LogState()
         self._failure = None
         self.log_bytes = 0
         self.sync_count = 0
@@ -155,12 +155,12 @@
         TamarackhavenError
             ALREADY_EXISTS if the folder has a member; SYNC_FAILED or DISK_FULL.
         """
-        self._refuse_after_failure()
+        self._raise_kept_failure()
         if not self.is_new:
             raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, str(self._folder))
-        self._state = _State(snapshot=snapshot)
+        self._state = _LogState(snapshot=snapshot)
         body = _codec.dumps(identity, Identity)
-        with self._failing():
+        with self._keep_failure():
             self._sync_parent()
             self._start_file()
             _files.replace(
@@ -178,13 +178,13 @@
         TamarackhavenError
             SYNC_FAILED or DISK_FULL, now and at every later call.
         """
-        self._refuse_after_failure()
+        self._raise_kept_failure()
         if self.is_new:
             raise TamarackhavenError(
                 ErrorKind.INTERNAL, "the data folder has no member yet"
             )
-        with self._failing():
-            self._state.take(writes)
+        with self._keep_failure():
+            self._state.apply(writes)
             if any(isinstance(write, WriteSnapshot) for write in writes):
                 self._start_file()
             else:
@@ -202,12 +202,12 @@
 
     # Writes.
 
-    def _refuse_after_failure(self):
+    def _raise_kept_failure(self):
         if self._failure:
             raise self._failure
 
     @contextlib.contextmanager
-    def _failing(self):
+    def _keep_failure(self):
         """Keep an error raised in this block, so that every later call raises it."""
         try:
             yield
@@ -221,7 +221,7 @@
             _files.write_all(self._files, self._descriptor, data)
             self._files.sync(self._descriptor)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
         self.log_bytes += len(data)
         self.sync_count += 1
 
@@ -244,7 +244,7 @@
         try:
             _files.sync_folder(self._files, self._folder.parent)
         except OSError as error:
-            raise _files.as_error(error, self._folder) from error
+            raise _files.error_of(error, self._folder) from error
 
     def _open_for_append(self, path):
         try:
@@ -253,13 +253,13 @@
                 self._descriptor = None
             self._descriptor = self._files.open(path, os.O_WRONLY | os.O_APPEND)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
     def _remove(self, path):
         try:
             self._files.remove(path)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
     def _path(self, number):
         return self._folder / f"{_LOG}{number:08d}"
@@ -270,7 +270,7 @@
         identity = self._read_identity()
         paths = sorted(self._folder.glob(f"{_LOG}" + "[0-9]" * 8))
         if identity is None:
-            self._drop_unfinished(paths)
+            self._remove_interrupted_create(paths)
             return
         if not paths:
             raise _record.damaged(self._folder / f"{_LOG}*", 0)
@@ -279,13 +279,13 @@
             self._remove(path)
         self.identity = identity
 
-    def _drop_unfinished(self, paths):
+    def _remove_interrupted_create(self, paths):
         """Remove the log of an interrupted ``create``; the member hasn't voted yet."""
         if not paths:
             return
         found = _record.scan(paths[-1].read_bytes(), paths[-1])
-        is_unfinished = paths[-1] == self._path(1) and len(found.bodies) == 1
-        if not is_unfinished:
+        is_interrupted = paths[-1] == self._path(1) and len(found.bodies) == 1
+        if not is_interrupted:
             raise _record.damaged(self._folder / _IDENTITY, 0)
         self._remove(paths[-1])
 
@@ -304,21 +304,21 @@
         if not found.bodies:
             raise _record.damaged(path, len(_record.HEADER))
         for body in found.bodies:
-            self._state.take(_record.unpack(body))
+            self._state.apply(_record.unpack(body))
         self._number = int(path.name.removeprefix(_LOG))
         self._open_for_append(path)
         base = len(_record.HEADER) + len(_record.record(found.bodies[0]))
         self.log_bytes = found.end - base
         if found.end < len(data):
-            self._cut(path, found.end)
+            self._truncate_tail(path, found.end)
 
-    def _cut(self, path, length):
+    def _truncate_tail(self, path, length):
         """Truncate a torn tail, so that later records follow a valid one."""
         try:
             self._files.truncate(self._descriptor, length)
             self._files.sync(self._descriptor)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
 
 def _lock(folder):
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -245,7 +245,7 @@
     Those within the limit are confirmed; the others hear at once that their change
     is not in the log and when to come back, instead of waiting past their deadline.
     """
-    monkeypatch.setattr(_consensus, "MAX_WAITING", 2)
+    monkeypatch.setattr(_consensus, "MAX_PENDING_CHANGES", 2)
     trio = Trio(tmp_path)
     trio.start("a", first=membership("a"))
     leader = trio.leader()
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tamarackhaven import _raft_wire
-from tamarackhaven._consensus_waiting import Waiting
+from tamarackhaven._consensus_waiting import PendingRequests
 from tamarackhaven._members import Membership
 from tamarackhaven._raft import Role
 from tamarackhaven._raft_messages import (
@@ -440,9 +440,9 @@
         def set_exception(self, error):
             self.kind = error.kind
 
-    waiting, future = Waiting(), Future()
-    waiting.add_entry(3, 1, future)
-    waiting.finish_entry(Entry(3, 2), "another's outcome")
+    waiting, future = PendingRequests(), Future()
+    waiting.add_proposal(3, 1, future)
+    waiting.complete_proposal(Entry(3, 2), "another's outcome")
     assert future.kind is ErrorKind.CHANGE_UNCONFIRMED
 
 
