--- a/tamarackhaven/_changes.py
+++ b/tamarackhaven/_changes.py
@@ -1,7 +1,7 @@
-"""The changes that go through the replicated log, and the outcome of one.
+"""Changes that are replicated in the log, and the outcome of a change.
 
-``_state.ClusterState.apply`` gives each its meaning. Every change is decided from
-the state at its own index alone, so that all members reach the same outcome.
+``_state.ClusterState.apply`` applies them. The outcome of a change depends only on the
+state before its index, so that all members reach the same outcome.
 """
 
 import attrs
@@ -23,11 +23,11 @@
     Parameters
     ----------
     change_id : str
-        Chosen by the operator; a resent change gets its first outcome.
+        Chosen by the operator; a change resent under it returns the first outcome.
     expected_version : int
-        The version the operator saw.
+        Version of the resource that the operator read, 0 to create it.
     allow_last_zone_out : bool
-        The explicit word needed to take out the last availability zone.
+        Must be true to take out the last availability zone.
     """
 
     change_id: str
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class DeleteResource:
-    """Delete the resource of class name ``kind``, named ``name``."""
+    """Delete the resource with class name ``kind`` and name ``name``."""
 
     change_id: str
     kind: str
@@ -48,10 +48,10 @@
 
 @attrs.frozen
 class JoinTarget:
-    """A daemon announces its target; the outcome holds its epoch.
+    """A daemon announces its target; the outcome holds the new epoch.
 
-    Refused while another process holds the name: of two claimants the one that
-    renews its lease keeps it, and the other gets in once that one is retired.
+    Refused while another process holds the name. Of two processes with one name, the
+    one that renews its lease keeps it; the other is admitted once the first is retired.
     """
 
     service: str
@@ -74,10 +74,10 @@
 
 @attrs.frozen
 class RetireTarget:
-    """The leader found that a majority fenced this epoch; its shards are free.
+    """The leader marks a target as lost, which frees its shards.
 
-    Proposed only after a majority fenced the epoch, or after the daemon itself
-    said that it holds nothing any more.
+    Proposed only after a majority has fenced the epoch, or after the daemon itself has
+    reported that it holds nothing any more.
     """
 
     service: str
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class ShardMove:
-    """Move one shard; ignored unless the shard still has this grant."""
+    """Move of one shard; ignored unless ``grant`` is its current grant."""
 
     shard: int
     grant: int
@@ -97,10 +97,10 @@
 
 @attrs.frozen
 class MoveShards:
-    """The leader's placement step.
+    """Moves of shards that the leader's placement has planned.
 
-    A shard without an owner is granted at once; an owned one gets ``moving_to``
-    and changes hands when its owner releases it.
+    A shard without an owner is granted at once. For an owned one ``moving_to`` is set,
+    and the owner changes when the present one releases the shard.
     """
 
     service: str
@@ -110,12 +110,12 @@
 
 @attrs.frozen
 class ReleaseShards:
-    """An owner admits nothing more for these shards and has nothing in flight.
+    """An owner releases shards, for which it admits nothing and has nothing in flight.
 
     Parameters
     ----------
     grants : list of ShardGrant
-        What the owner releases; those whose ``grant`` is not current are ignored.
+        Grants to release; those whose ``grant`` isn't current are ignored.
     """
 
     service: str
@@ -126,7 +126,7 @@
 
 @attrs.frozen
 class PinKey:
-    """Give a hot key a shard of its own, first with the same owner."""
+    """Give a hot key its own shard, initially with the same owner."""
 
     service: str
     key_hash: int
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class UnpinKey:
-    """Fold a pinned key back into its shard, once both have the same owner."""
+    """Merge a pinned key back into its base shard; both must have the same owner."""
 
     service: str
     key_hash: int
@@ -157,12 +157,12 @@
 
 @attrs.frozen
 class Command:
-    """What a log entry holds: a change, and when the leader took it.
+    """Content of a log entry: a change, and when the leader accepted it.
 
     Parameters
     ----------
     at_unix_s : float
-        Wall-clock time at the leader, in seconds; only told to people.
+        Unix time at the leader, in seconds; only shown to operators.
     """
 
     change: Change
@@ -171,17 +171,17 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of a change.
+    """Result of a change.
 
     Parameters
     ----------
     code : str
-        Empty if it was applied, else the value of an ``ErrorKind``.
+        Empty if the change was applied, else the value of an ``ErrorKind``.
     detail : str
-        For people.
+        Explanation for operators.
     version : int
-        Version in force after the change: of the resource it names (with a
-        conflict, the present one), else the log index.
+        Version after the change: that of the resource it names (the current one if
+        there is a conflict), else the log index.
     member : TargetMember or None
         The admitted target, for ``JoinTarget``.
     """
--- a/tamarackhaven/_codec.py
+++ b/tamarackhaven/_codec.py
@@ -1,6 +1,6 @@
-"""JSON text for the project's ``attrs`` records, by ``cattrs``.
+"""JSON encoding of the project's ``attrs`` records with ``cattrs``.
 
-A record in a union is written with the name of its class under ``type``.
+A record in a union is written with its class name under the key ``type``.
 """
 
 import attrs
@@ -23,26 +23,26 @@
 
 
 def dumps(value, kind):
-    """Write ``value`` of type ``kind`` as UTF-8 JSON bytes, keys sorted.
+    """Return ``value`` of type ``kind`` as UTF-8 JSON bytes with sorted keys.
 
-    Sorted keys make equal records equal bytes, which golden files rely on.
+    With sorted keys equal records have equal bytes, which golden files rely on.
     """
     return _CONVERTER.dumps(value, kind, sort_keys=True).encode()
 
 
 def loads(data, kind):
-    """Read JSON bytes as type ``kind``.
+    """Return the value of type ``kind`` in JSON bytes.
 
     Raises
     ------
     cattrs.ClassValidationError
-        If the text is not a record of that type.
+        If the JSON value isn't a record of that type.
     """
     return _CONVERTER.loads(data, kind)
 
 
 def to_plain(value):
-    """Return an ``attrs`` record as plain dicts and lists, tagged with its class."""
+    """Return an ``attrs`` record as dicts and lists, tagged with its class name."""
     plain = _CONVERTER.unstructure(value)
     if attrs.has(type(value)):
         plain = {_TAG: type(value).__name__} | plain
@@ -50,5 +50,11 @@
 
 
 def from_plain(plain, kind):
-    """Return plain dicts and lists as a record of type ``kind``."""
+    """Return the record of type ``kind`` in plain dicts and lists.
+
+    Raises
+    ------
+    cattrs.ClassValidationError
+        If ``plain`` isn't a record of that type.
+    """
     return _CONVERTER.structure(plain, kind)
--- a/tamarackhaven/_events.py
+++ b/tamarackhaven/_events.py
@@ -1,7 +1,7 @@
-"""What a watcher is told: changed records, each with its version.
+"""Events for watchers: changed records, each with its version.
 
 Events of one version arrive together. A view that has applied version ``v`` ignores
-events up to ``v``, so a late or repeated delivery can't take it back.
+events up to ``v``, so a late or repeated delivery can't revert it.
 """
 
 import attrs
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class TargetRemoved:
-    """A target that was lost long ago is forgotten."""
+    """A target was removed, as it was lost long ago and lost ones are limited."""
 
     version: int
     service: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class ShardChanged:
-    """A shard has another owner, or is about to."""
+    """A shard's grant changed: its owner, or the target that it is moving to."""
 
     version: int
     grant: ShardGrant
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class ShardRemoved:
-    """A pinned key's own shard is gone."""
+    """A shard was removed, such as that of a pinned key."""
 
     version: int
     service: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class MembershipChanged:
-    """The consensus group has other members."""
+    """The membership of the consensus group changed."""
 
     version: int
     membership: Membership
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class HotKey:
-    """A key that a gate saw often; ``share`` is its part of all requests, 0 to 1."""
+    """A frequent key of a gate; ``share`` is its fraction of all requests, 0 to 1."""
 
     key_hash: int
     share: float
@@ -96,18 +96,18 @@
 
 @attrs.frozen
 class LoadReport:
-    """What a daemon tells the leader about its target, a few times a minute.
+    """Load of a target, which its daemon reports to the leader a few times a minute.
 
     Parameters
     ----------
     requests_per_s : float
-        Requests admitted a second.
+        Rate of admitted requests, per second.
     limit : int
         Present concurrency limit of the gate.
     cold : bool
-        Whether the gate still holds its cold-start ceiling.
+        Whether the gate still applies its cold-start limit.
     hot_keys : list of HotKey
-        The hottest keys, most shared first.
+        The most frequent keys, in descending order of ``share``.
     """
 
     service: str
--- a/tamarackhaven/_feed_wire.py
+++ b/tamarackhaven/_feed_wire.py
@@ -1,8 +1,9 @@
-"""Events of a feed as bytes: packed, and read a part at a time.
+"""Compressed encoding of a feed's events, which is decoded one part at a time.
 
-At 65,536 shards a first feed is 14 MB of JSON and, as records all at once, 79 MB, more
-than a daemon may use. Packed it is a sixteenth; read in parts it is never whole in
-memory. A delta keeps to ``MAX_DELTA_EVENTS``, since its reader needs it whole.
+At 65,536 shards a first feed is 14 MB of JSON, or 79 MB as records in memory, more than
+a daemon may use. Compression reduces the JSON to a sixteenth, and a reader decodes it
+in parts, so that it is never completely in memory. A delta is limited to
+``MAX_DELTA_EVENTS``, since its reader needs all of it at once.
 """
 
 import itertools
@@ -12,9 +13,9 @@
 from tamarackhaven._events import Event
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# A part is some 100 KB of text and 600 KB as records.
+# A part of this size is about 100 KB of JSON and 600 KB as records.
 PART_EVENTS = 512
-# As records some 10 MB; a watcher that is further behind gets a snapshot.
+# About 10 MB as records; a watcher that lags further gets a snapshot.
 MAX_DELTA_EVENTS = 8192
 _READ_BYTES = 64 * 1024
 _LEVEL = 1
@@ -22,7 +23,7 @@
 
 
 def pack(events):
-    """Return events as bytes, empty if there are none."""
+    """Return events as compressed bytes, which are empty if there are no events."""
     compressor = zlib.compressobj(_LEVEL)
     packed = []
     rest = iter(events)
@@ -33,7 +34,10 @@
 
 
 class PackedEvents:
-    """Events read from bytes anew at each iteration."""
+    """Iterable over packed events, which are decoded again at each iteration.
+
+    Iteration raises ``TamarackhavenError`` with INTERNAL if the data is truncated.
+    """
 
     def __init__(self, data):
         self._data = data
@@ -44,20 +48,22 @@
 
 
 def _texts(data):
-    """Yield one part's text after another."""
+    """Yield the JSON text of each part."""
     if not data:
         return
     decompressor = zlib.decompressobj()
     text = b""
-    # All bytes may have been taken in while text is still to come out of them.
+    # The decompressor may still hold output after it has consumed all input.
     while not decompressor.eof:
         piece = decompressor.decompress(data, _READ_BYTES)
         data = decompressor.unconsumed_tail
         if not piece and not data and not decompressor.eof:
-            # Failure: a feed is cut off. Symptom: its version counts as applied, and
-            # the events of its end never arrive. Enough: the reader gives up and asks
-            # again.
-            raise TamarackhavenError(ErrorKind.INTERNAL, "a feed is cut off")
+            # If a truncated feed were accepted, its version would count as applied
+            # although its last events are missing. The error makes the reader fetch
+            # the feed again.
+            raise TamarackhavenError(
+                ErrorKind.INTERNAL, "the data of a feed is truncated"
+            )
         text += piece
         *whole, text = text.split(_END)
         yield from whole
--- a/tamarackhaven/_fetch_pace.py
+++ b/tamarackhaven/_fetch_pace.py
@@ -1,42 +1,42 @@
-"""When a daemon asks a control VM for news of the map.
+"""Intervals at which a daemon fetches updates of the map from a control VM.
 
-Answers to renewals and hints say which version there is, so a daemon whose renewals
-are answered needs no poll: a fetch that finds nothing costs some 490 bytes with TCP's
-headers and acknowledgements, a quarter of what control may take in a second.
+Replies to lease renewals and hints contain the newest version, so a daemon that gets
+such replies doesn't have to poll: a fetch without new events costs about 490 bytes with
+TCP's headers and acknowledgements, a quarter of what control traffic may use a second.
 """
 
-# While nobody confirms the map: no lease yet, or renewals without answers.
+# Interval while the map isn't confirmed: no lease yet, or no replies to renewals.
 FETCH_EVERY_S = 1.0
-# While answers confirm it; only keeps the connection warm.
+# Interval while replies confirm the map; the fetch only keeps the connection open.
 QUIET_EVERY_S = 15.0
-# While a newer version is known of: the control VM that was asked lags by a moment.
+# Interval while a newer version is known, as the control VM may lag a little.
 RETRY_S = 0.05
 UNCONFIRMED_S = 1.0
 
 
 class FetchPace:
-    """Decides whether a fetch is due; times in seconds of one clock."""
+    """Decides whether a fetch is due; all times are in seconds of one clock."""
 
     def __init__(self):
         self._asked_at = float("-inf")
 
     def asked(self, now):
-        """Note that a fetch begins."""
+        """Record that a fetch starts at ``now``."""
         self._asked_at = now
 
     def is_due(self, now, is_behind, has_lease, confirmed_at):
-        """Return whether to ask now.
+        """Return whether to fetch now.
 
         Parameters
         ----------
         now : float
             Present time.
         is_behind : bool
-            Whether a version newer than the map's is known of.
+            Whether a version newer than that of the map is known.
         has_lease : bool
-            Whether there is an epoch that is renewed.
+            Whether the daemon has an epoch whose lease it renews.
         confirmed_at : float
-            When a majority of control VMs last had nothing newer.
+            When a majority of control VMs last had no newer version.
         """
         return now - self._asked_at >= _pause_s(
             is_behind, has_lease and now - confirmed_at < UNCONFIRMED_S
--- a/tamarackhaven/_history.py
+++ b/tamarackhaven/_history.py
@@ -1,4 +1,4 @@
-"""The newest events by version, for watchers that are a little behind."""
+"""Recent events by version, for watchers that lag only a little."""
 
 import collections
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class Feed:
-    """Events that take a watcher from one version to ``version``.
+    """Events that update a watcher to ``version``.
 
     Parameters
     ----------
     version : int
-        Version after the events; also a bookmark when there are none.
+        Version after the events; the watcher continues from it even if there are none.
     snapshot : bool
-        True if the events replace all that the watcher has.
+        True if the events replace the whole state of the watcher.
     events : iterable of Event
-        In order of version.
+        Events in order of version.
     """
 
     version: int
@@ -28,10 +28,17 @@
 
 
 class History:
-    """Events of the last versions, bounded in versions and in events.
+    """Events of the most recent versions, limited in versions and in events.
 
-    The history belongs to the state, not to a watcher: a slow watcher costs no
-    memory, it falls out of the kept versions and gets a snapshot.
+    All watchers share one history. A slow watcher uses no memory of its own; once its
+    version is no longer retained, it gets a snapshot.
+
+    Parameters
+    ----------
+    versions : int
+        Maximum number of versions with events to retain.
+    events : int
+        Maximum number of events; those of the newest version are always retained.
     """
 
     def __init__(self, versions=VERSIONS_KEPT, events=EVENTS_KEPT):
@@ -43,7 +50,7 @@
         self.version = 0
 
     def add(self, version, events):
-        """Add the events of ``version``, higher than any before."""
+        """Add the events of ``version``, which is higher than all earlier ones."""
         self.version = version
         if not events:
             return
@@ -59,16 +66,16 @@
         return len(self._by_version) > self._versions or self._count > self._events
 
     def restart(self, version):
-        """Forget all events: the state was replaced by a snapshot at ``version``."""
+        """Drop all events, as a snapshot at ``version`` has replaced the state."""
         self._by_version.clear()
         self._count = 0
         self._floor = version
         self.version = version
 
     def since(self, version):
-        """Return the events after ``version``, or None if they are not kept.
+        """Return the events after ``version``, or None if they aren't retained.
 
-        A version from the future (of a log that never was) gets None as well.
+        Also None for a version above the present one, as of another log.
         """
         if version < self._floor or version > self.version:
             return None
--- a/tamarackhaven/_model.py
+++ b/tamarackhaven/_model.py
@@ -1,8 +1,8 @@
-"""The records that the control group keeps: resources, targets and shard grants.
+"""Records of the replicated state: resources, targets and shard grants.
 
-All are frozen ``attrs`` classes, so a record can be shared between threads and a
-change is always a new record. ``version`` is the index of the log entry that last
-changed the record; 0 means that it was never committed.
+All are frozen ``attrs`` classes, so that threads can share a record and each change
+makes a new one. ``version`` is the index of the log entry that last changed the record;
+0 means that it was never committed.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class ZoneState(enum.Enum):
-    """Whether operators let an availability zone take new work."""
+    """Whether operators allow new work in an availability zone."""
 
     IN = "in"
     OUT = "out"
@@ -25,10 +25,10 @@
 
 
 class TargetState(enum.Enum):
-    """What a target announced, or what the control group concluded."""
+    """State of a target, as announced by it or decided by the control group."""
 
     ACTIVE = "active"
-    LEAVING = "leaving"  # finishes what is in flight, takes no new shard
+    LEAVING = "leaving"  # finishes what is in flight, gets no new shard
     LOST = "lost"  # its epoch is fenced by a majority
 
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class OwnershipPolicy:
-    """How keys are owned, and how fast ownership may move.
+    """How keys are owned, and how many shards may move at once.
 
     Parameters
     ----------
@@ -53,12 +53,13 @@
     mode : PolicyMode
         Exclusive or shared.
     min_targets : int
-        Fewest active targets in zones that are in; a change that would leave
-        fewer is refused. 0 accepts a service before its targets announce.
+        Minimum number of active targets in zones that are in; a change that would
+        leave fewer is refused. With 0, a service can be created before its targets
+        announce themselves.
     move_batch : int
-        Most shards that may be on the move at once in one service.
+        Maximum number of shards that move at once in one service.
     max_pinned_keys : int
-        Most hot keys pinned at once in one service.
+        Maximum number of hot keys pinned at once in one service.
     """
 
     name: str
@@ -78,15 +79,15 @@
     name : str
         First part of every request's path.
     policy : str
-        Name of its ownership policy.
+        Name of the ownership policy.
     shard_count : int
         Number of shards, a power of two from 1 to 65,536; fixed at creation.
     default_deadline_ms : int
-        Deadline for requests that state none, in milliseconds.
+        Deadline for requests without one, in milliseconds.
     max_body_bytes : int
-        Largest request or answer body, in bytes.
+        Maximum size of a request or answer body, in bytes.
     slots : int
-        Requests that one target can run at once when warm, as declared.
+        Declared number of requests that one warm target can run at once.
     booking_window_s : int
         How long a booking's first answer is kept, in seconds.
     """
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class TargetMember:
-    """A target that announced itself, with the daemon beside it.
+    """A target that announced itself through the daemon on its VM.
 
     Parameters
     ----------
@@ -120,13 +121,13 @@
     zone : str
         Availability zone of its VM.
     instance : str
-        Random name of the daemon process; another process has another one.
+        Random name of the daemon process; each process has its own.
     incarnation : str
-        What the target says of its own start; a new one means a cold target.
+        Value that the target reports for its start; a new one means a cold target.
     epoch : int
         Index of the log entry that admitted this instance; fences older ones.
     peer : Address
-        Where other daemons forward requests to.
+        Address to which other daemons forward requests.
     capacity : int
         Relative capacity, 1 or more.
     """
@@ -145,29 +146,29 @@
 
 @attrs.frozen
 class ShardGrant:
-    """Who owns one shard. A pinned key is a shard of its own.
+    """Ownership of one shard; a pinned key has its own shard.
 
-    A grant ends in two ways only: the owner releases it, or the owner's epoch is
-    fenced by a majority. So a daemon whose map is old but whose lease holds still
-    knows truly what it owns.
+    A grant ends only when the owner releases it or a majority fences the owner's epoch.
+    So a daemon with an outdated map but a valid lease still has correct information on
+    what it owns.
 
     Parameters
     ----------
     shard : int
-        0 to ``shard_count - 1``, or above that for a pinned key.
+        0 to ``shard_count - 1``, or a higher number for a pinned key.
     owner : str
         Name of the owning target, empty if none.
     epoch : int
         The owner's epoch at the time of the grant.
     grant : int
-        Index of the log entry that granted it; rises with each change of owner.
+        Index of the log entry that granted it; increases with each change of owner.
     moving_to : str
-        Name of the target that gets it once the owner has released it, or empty.
+        Name of the target that gets the shard once its owner releases it, or empty.
     key_hash : int
         64-bit hash of the pinned key, 0 for an ordinary shard.
     previous : int
-        Number of the grant right before this one, 0 if there was none. A ledger of
-        bookings handed over is whole only if it is of that grant.
+        ``grant`` number directly before this one, 0 if there was none. A ledger of
+        bookings that is handed over is complete only if it belongs to that grant.
     """
 
     service: str
--- a/tamarackhaven/_resources.py
+++ b/tamarackhaven/_resources.py
@@ -1,6 +1,6 @@
-"""Checks of resources: what a change must satisfy before it is accepted.
+"""Validation of resources before a change is accepted.
 
-Every check raises ``TamarackhavenError`` with the reason and changes nothing.
+Every check raises ``TamarackhavenError`` with the reason, and modifies nothing.
 """
 
 import re
@@ -26,7 +26,7 @@
 
 
 def key_of(resource):
-    """Return the (class name, name) that identifies a resource."""
+    """Return the pair (class name, name) that identifies a resource."""
     return type(resource).__name__, resource.name
 
 
@@ -36,32 +36,38 @@
 
 def _in_range(name, value, low, high):
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _invalid(f"{name} must be a whole number.")
+        raise _invalid(f"{name} must be an integer.")
     if not low <= value <= high:
         raise _invalid(f"{name} is {value}, but must be from {low} to {high}.")
 
 
 def check_name(name):
-    """Refuse a name that can't stand in a path, a header and a metric."""
+    """Refuse a name that isn't valid in paths, headers and metric labels.
+
+    Raises
+    ------
+    TamarackhavenError
+        INVALID_RESOURCE, with the name.
+    """
     if not isinstance(name, str) or not NAME.fullmatch(name):
         raise _invalid(
-            f"The name {name!r} must be 1 to 63 of a-z, 0-9 and '-', with no '-' "
-            "at either end."
+            f"The name {name!r} must be 1 to 63 characters of a-z, 0-9 and '-', and "
+            "must not start or end with '-'."
         )
 
 
 @singledispatch
 def check_resource(resource, old, state):
-    """Refuse a resource that can't be honoured.
+    """Refuse a resource that is invalid or that the present state doesn't satisfy.
 
     Parameters
     ----------
     resource : AvailabilityZone, OwnershipPolicy or Service
-        The wanted resource.
+        The new version of the resource.
     old : same class or None
-        The present one.
+        The current version, or None if the resource is new.
     state : ClusterState
-        Everything else that is in force.
+        The state before the change.
 
     Raises
     ------
@@ -111,30 +117,42 @@
 
 
 def _check_same_mode(old_mode, new_mode):
-    """Refuse to change how many targets may serve a key of a service in use.
+    """Refuse a change between exclusive and shared ownership of a service.
 
-    Failure: a shared service becomes exclusive while a daemon has not heard of it.
-    Symptom: it serves a key that another target owns by now.
+    After a change from shared to exclusive, a daemon with an older map would still
+    serve keys that another target owns.
     """
     if old_mode is not new_mode:
-        raise _invalid("The mode can't change for a service that exists.")
+        raise _invalid("The ownership mode of an existing service can't change.")
 
 
 def check_last_zone(resource, state):
-    """Refuse to take out the last availability zone that is in."""
+    """Refuse to take out the last availability zone that is in.
+
+    Raises
+    ------
+    TamarackhavenError
+        LAST_ZONE.
+    """
     if not isinstance(resource, AvailabilityZone) or resource.state is ZoneState.IN:
         return
     others = [zone for zone in state.zones if zone.name != resource.name]
     if not any(zone.state is ZoneState.IN for zone in others):
         raise TamarackhavenError(
             ErrorKind.LAST_ZONE,
-            f"No zone but {resource.name!r} is in; say --allow-last-zone-out to do it.",
+            f"No zone except {resource.name!r} is in; pass --allow-last-zone-out.",
         )
 
 
 @singledispatch
 def check_delete(resource, state):
-    """Refuse to delete a resource that others need."""
+    """Refuse to delete a resource that is in use.
+
+    Raises
+    ------
+    TamarackhavenError
+        RESOURCE_IN_USE, with up to five of its users.
+    """
 
 
 @check_delete.register
@@ -168,7 +186,7 @@
 
 
 def _check_held(state, zone_out):
-    """Refuse a zone change that leaves a policy without enough targets."""
+    """Refuse to take out a zone that leaves any policy with too few targets."""
     for service in state.services:
         policy = state.resource("OwnershipPolicy", service.policy)
         _check_targets(state, service, policy, zone_out)
@@ -186,6 +204,6 @@
     if len(held) < policy.min_targets:
         raise TamarackhavenError(
             ErrorKind.POLICY_NOT_HELD,
-            f"Policy {policy.name!r} wants {policy.min_targets} targets for "
-            f"{service.name!r}, {len(held)} would be left.",
+            f"Policy {policy.name!r} requires {policy.min_targets} targets for "
+            f"{service.name!r}, only {len(held)} would be left.",
         )
--- a/tamarackhaven/_rules.py
+++ b/tamarackhaven/_rules.py
@@ -1,6 +1,6 @@
-"""What each change means: the rules by which a log entry alters the state.
+"""Rules that apply each kind of change to the replicated state.
 
-They look at the change, its index and the state before it, at nothing else.
+Their result depends only on the change, its index and the state before it.
 """
 
 from functools import singledispatch
@@ -33,21 +33,21 @@
 
 @singledispatch
 def apply_change(change, state, index):
-    """Apply one change and return its ``Outcome``, or None if that has no detail.
+    """Apply one change and return its ``Outcome``, or None if it has no detail.
 
     Parameters
     ----------
     change : one of the classes of _changes
         What to apply.
     state : ClusterState
-        The state before, altered in place; left as it is if this raises.
+        The state before the change; modified in place, but not if this raises.
     index : int
         Index of the log entry.
 
     Raises
     ------
     TamarackhavenError
-        Why the change is refused.
+        With the reason if the change is refused.
     """
     raise TamarackhavenError(
         ErrorKind.INVALID_RESOURCE, f"unknown change {type(change).__name__}"
@@ -100,10 +100,10 @@
         raise TamarackhavenError(ErrorKind.UNKNOWN_ZONE, change.zone)
     old = state.member(change.service, change.target)
     same = old is not None and old.instance == change.instance
-    # Failure: the old process only seemed silent to the leader, and the new one
-    # releases a shard while the old one still holds its lease. Symptom: two
-    # targets serve the key. A lost epoch is fenced by a majority, so its process
-    # can never hold a lease again.
+    # The leader may miss the reports of an old process that still holds its lease. If
+    # a new process were admitted and released a shard meanwhile, two targets would
+    # serve the same key. The epoch of a lost target is fenced by a majority, so its
+    # process can never hold a lease again.
     if old is not None and not same and old.state is not TargetState.LOST:
         raise TamarackhavenError(
             ErrorKind.NAME_CLAIMED,
@@ -127,10 +127,10 @@
 
 
 def _take_over(state, member, same_instance, index):
-    """Carry the shards of an earlier epoch of this target to the new one.
+    """Transfer the shards of an earlier epoch of this target to the new epoch.
 
-    The same process keeps its grant numbers: nobody else owned the shard in
-    between, so its ledger of bookings is whole. Another process gets new ones.
+    The same process keeps its grant numbers: no other target owned the shards in
+    between, so its ledger of bookings is complete. Another process gets new numbers.
     """
     for grant in _owned(state, member.service, member.target):
         if same_instance:
@@ -160,7 +160,10 @@
 
 
 def _hand_over(state, grant, index):
-    """Grant a shard that its owner has lost or released to whom it moves to."""
+    """Grant a shard to ``moving_to``; leave it unowned if that is ineligible.
+
+    Its owner has released the shard or is lost.
+    """
     member = state.member(grant.service, grant.moving_to)
     if not _eligible(state, member):
         free = attrs.evolve(grant, owner="", epoch=0, moving_to="")
@@ -223,9 +226,9 @@
         if grant.moving_to:
             _hand_over(state, grant, index)
         else:
-            # The move was taken back while the owner let go of the shard: it
-            # gets it again under a new number, since it will never again admit
-            # under the one it released.
+            # The move was cancelled while the owner was releasing the shard. The owner
+            # gets it back under a new grant number, because it admits nothing more
+            # under a number that it has released.
             _grant(state, grant, member, index)
         released.append(wanted.shard)
     result = f"{change.target} released {len(released)}"
@@ -239,7 +242,7 @@
         raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, change.service)
     grants = state.grants(change.service)
     if any(grant.key_hash == change.key_hash for grant in grants.values()):
-        raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, "The key is pinned.")
+        raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, "The key is already pinned.")
     base = grants[_keys.shard_of(change.key_hash, service.shard_count)]
     shard = service.shard_count
     while shard in grants:
@@ -264,19 +267,23 @@
     if service is None or not pinned:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, "The key is not pinned.")
     base = grants[_keys.shard_of(change.key_hash, service.shard_count)]
-    # With two owners the key would change hands without a release.
+    # With different owners, or during a move, unpinning would change the key's owner
+    # without a release.
     if pinned[0].owner != base.owner or pinned[0].moving_to or base.moving_to:
-        raise TamarackhavenError(ErrorKind.STALE_GRANT, "Its shard is elsewhere.")
+        raise TamarackhavenError(
+            ErrorKind.STALE_GRANT,
+            "The pinned shard and its base shard must have one owner and not move.",
+        )
     state.remove_shard(change.service, pinned[0].shard, index)
     shards = [pinned[0].shard]
     state.decide(index, change.service, change.cause, "key unpinned", shards)
 
 
 def _eligible(state, member):
-    """Whether a target may be given shards.
+    """Return whether shards may be granted to a target.
 
-    Checked again here, not only by the placement: an availability zone taken
-    out between the leader's plan and this entry would else get new shards.
+    The placement has checked this before, but an availability zone may have been taken
+    out between the leader's plan and this entry; it must not get new shards.
     """
     if member is None or member.state is not TargetState.ACTIVE:
         return False
@@ -289,7 +296,14 @@
 
 
 def _current(state, service, target, epoch):
-    """Return the target if ``epoch`` is its present one."""
+    """Return the target, or refuse an ``epoch`` that isn't its current one.
+
+    Raises
+    ------
+    TamarackhavenError
+        NOT_FOUND if there is no such target; STALE_EPOCH if it is lost or has another
+        epoch.
+    """
     member = state.member(service, target)
     if member is None:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{service}/{target}")
--- a/tamarackhaven/_state.py
+++ b/tamarackhaven/_state.py
@@ -1,8 +1,8 @@
-"""The state that the replicated log builds: resources, targets and shard grants.
+"""Replicated state of the control group: resources, targets and shard grants.
 
-``ClusterState.apply`` is deterministic: it looks at the change, its index and the
-state before it, at nothing else. So every control VM reaches the same state, and a
-restarted one reaches it again.
+``ClusterState.apply`` is deterministic: its result depends only on the change, its
+index and the state before it. So every control VM reaches the same state, also after a
+restart.
 """
 
 import collections
@@ -27,15 +27,15 @@
 from tamarackhaven._rules import apply_change
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# At 1,200 changes a day this remembers a resent change for over a week.
+# At 1,200 changes a day, a change can be resent for over a week.
 OUTCOMES_KEPT = 10_000
-# At 300 replaced VMs a day these are the lost targets of three days.
+# At 300 replaced VMs a day, these are the lost targets of three days.
 LOST_KEPT = 1000
 
 
 @attrs.frozen
 class FirstOutcome:
-    """The first outcome of a change id, with the digest of that change."""
+    """First outcome of a change id, with the digest of that change."""
 
     change_id: str
     digest: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class StateSnapshot:
-    """All of the state, as text can hold it."""
+    """Complete state in a form that can be written as JSON."""
 
     version: int
     events: list[Event]
@@ -53,7 +53,7 @@
 
 
 class ClusterState:
-    """Resources, targets and grants after one entry of the log."""
+    """Resources, targets and shard grants as of the last applied log entry."""
 
     def __init__(self):
         self.version = 0
@@ -68,33 +68,33 @@
 
     @property
     def services(self):
-        """All services."""
+        """All services, as a list."""
         return self._of_kind("Service")
 
     @property
     def zones(self):
-        """All availability zones."""
+        """All availability zones, as a list."""
         return self._of_kind("AvailabilityZone")
 
     @property
     def members(self):
-        """All targets, lost ones included."""
+        """All targets, including lost ones, as a list."""
         return list(self._members_by_key.values())
 
     def resource(self, kind, name):
-        """Return the resource of class name ``kind``, or None."""
+        """Return the resource with class name ``kind`` and ``name``, or None."""
         return self._resources_by_key.get((kind, name))
 
     def member(self, service, target):
-        """Return a target, or None."""
+        """Return the target named ``target`` of a service, or None."""
         return self._members_by_key.get((service, target))
 
     def member_by_epoch(self, epoch):
-        """Return the target whose newest epoch this is, or None."""
+        """Return the target whose newest epoch is ``epoch``, or None."""
         return self._members_by_key.get(self._key_by_epoch.get(epoch))
 
     def grants(self, service):
-        """Return the grants of a service by shard; not to be changed."""
+        """Return the grants of a service by shard; callers must not modify the dict."""
         return self._grants_by_service.get(service, {})
 
     def apply(self, index, command):
@@ -103,16 +103,16 @@
         Parameters
         ----------
         index : int
-            Index of the log entry, higher than any before.
+            Index of the log entry, higher than all earlier ones.
         command : Command
-            The change with its time.
+            The change and its time.
 
         Returns
         -------
         outcome : Outcome
-            What became of it; a refused change alters nothing.
+            Result of the change; a refused change doesn't modify the state.
         events : list of Event
-            What watchers are told.
+            Events for watchers.
         """
         self._events = []
         self._decided_at = command.at_unix_s
@@ -130,7 +130,7 @@
         return outcome, self._events
 
     def snapshot(self):
-        """Return everything as a ``StateSnapshot``."""
+        """Return the complete state as a ``StateSnapshot``."""
         return StateSnapshot(
             self.version,
             self.as_events(),
@@ -139,7 +139,7 @@
         )
 
     def as_events(self):
-        """Return events that build this state from nothing."""
+        """Return events that build this state from an empty one."""
         events = [
             ResourceChanged(r.version, r) for r in self._resources_by_key.values()
         ]
@@ -150,7 +150,7 @@
 
     @classmethod
     def restored(cls, snapshot):
-        """Return the state that ``snapshot`` holds."""
+        """Return the state stored in ``snapshot``."""
         state = cls()
         state.version = snapshot.version
         for event in snapshot.events:
@@ -173,15 +173,15 @@
     def _of_kind(self, kind):
         return [r for (k, _), r in self._resources_by_key.items() if k == kind]
 
-    # A resent change: the operator lost the first answer. Applying it again would
-    # answer with a conflict against the operator's own change, or do it twice.
+    # An operator resends a change whose outcome was lost. Applying it again would
+    # fail with a conflict with the operator's own change, or apply it twice.
     def _first_outcome(self, change):
         change_id = getattr(change, "change_id", "")
         first = self._outcomes_by_change_id.get(change_id)
         if first is None:
             return None
         if first.digest != _digest(change):
-            detail = f"The change id {change_id!r} stands for another change."
+            detail = f"The change id {change_id!r} was already used for another change."
             return Outcome(ErrorKind.CHANGE_ID_REUSED.value, detail, self.version)
         return first.outcome
 
@@ -194,10 +194,10 @@
         if len(self._outcomes_by_change_id) > OUTCOMES_KEPT:
             self._outcomes_by_change_id.popitem(last=False)
 
-    # What the rules alter. Each tells the watchers, too.
+    # Modifications by the rules; each also records an event for watchers.
 
     def decide(self, index, subject, cause, result, shards=()):
-        """Record a decision for ``explain``."""
+        """Record a decision, which ``explain`` shows."""
         self.decisions.add(
             Decision(
                 f"v{index}", index, self._decided_at, subject, cause, result, [*shards]
@@ -205,12 +205,12 @@
         )
 
     def put_resource(self, resource):
-        """Keep a resource under its kind and name."""
+        """Store a resource under its kind and name."""
         self._resources_by_key[key_of(resource)] = resource
         self._events.append(ResourceChanged(resource.version, resource))
 
     def remove_resource(self, kind, name, index):
-        """Forget a resource; with a service its shards and targets, too."""
+        """Remove a resource; a service is removed with its shards and targets."""
         del self._resources_by_key[kind, name]
         self._events.append(ResourceDeleted(index, kind, name))
         if kind == "Service":
@@ -220,7 +220,7 @@
                 self._forget_member(member)
 
     def put_member(self, member, index):
-        """Keep a target; beyond ``LOST_KEPT`` the longest lost one is forgotten."""
+        """Store a target; above ``MAX_LOST_TARGETS`` the oldest lost one is removed."""
         member = attrs.evolve(member, version=index)
         self._keep_member(member)
         self._events.append(TargetChanged(index, member))
@@ -228,11 +228,11 @@
             self._forget_lost(index)
 
     def _forget_lost(self, index):
-        """Bound the lost targets that are remembered.
+        """Limit the number of lost targets in the state.
 
-        Failure: each replaced VM brings a new name. Symptom: the state grows for
-        ever, in every control VM and daemon. An epoch that is not remembered is
-        refused like one that was replaced, so nothing rests on the record.
+        Each replaced VM has a new name, so without a limit the state would grow in
+        every control VM and daemon. An unknown epoch is refused like a replaced one,
+        so nothing depends on the removed record.
         """
         lost = [m for m in self.members if m.state is TargetState.LOST]
         if len(lost) > LOST_KEPT:
@@ -253,12 +253,12 @@
         self._key_by_epoch[member.epoch] = key
 
     def remove_shard(self, service, shard, index):
-        """Forget a shard, such as a pinned key's own."""
+        """Remove a shard, such as the shard of a pinned key."""
         del self._grants_by_service[service][shard]
         self._events.append(ShardRemoved(index, service, shard))
 
     def put_grant(self, grant, index):
-        """Keep the grant of a shard."""
+        """Store the grant of a shard."""
         grant = attrs.evolve(grant, version=index)
         grants = self._grants_by_service.setdefault(grant.service, {})
         grants[grant.shard] = grant
