--- a/tamarackhaven/_codec.py
+++ b/tamarackhaven/_codec.py
@@ -12,14 +12,14 @@
 _TAG = "type"
 
 
-def _make():
+def _make_converter():
     converter = make_converter(forbid_extra_keys=True)
     for union in (_model.Resource, _changes.Change, _events.Event):
         configure_tagged_union(union, converter, tag_name=_TAG)
     return converter
 
 
-_CONVERTER = _make()
+_CONVERTER = _make_converter()
 
 
 def dumps(value, kind):
--- a/tamarackhaven/_feed_wire.py
+++ b/tamarackhaven/_feed_wire.py
@@ -14,21 +14,21 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 # A part of this size is about 100 KB of JSON and 600 KB as records.
-PART_EVENTS = 512
+MAX_PART_EVENTS = 512
 # About 10 MB as records; a watcher that lags further gets a snapshot.
 MAX_DELTA_EVENTS = 8192
-_READ_BYTES = 64 * 1024
-_LEVEL = 1
-_END = b"\n"
+_MAX_DECOMPRESSED_BYTES = 64 * 1024
+_COMPRESSION_LEVEL = 1
+_SEPARATOR = b"\n"
 
 
 def pack(events):
     """Return events as compressed bytes, which are empty if there are no events."""
-    compressor = zlib.compressobj(_LEVEL)
+    compressor = zlib.compressobj(_COMPRESSION_LEVEL)
     packed = []
-    rest = iter(events)
-    while part := list(itertools.islice(rest, PART_EVENTS)):
-        text = _codec.dumps(part, list[Event]) + _END
+    remaining = iter(events)
+    while part := list(itertools.islice(remaining, MAX_PART_EVENTS)):
+        text = _codec.dumps(part, list[Event]) + _SEPARATOR
         packed.append(compressor.compress(text))
     return b"".join(packed) + compressor.flush() if packed else b""
 
@@ -43,11 +43,11 @@
         self._data = data
 
     def __iter__(self):
-        for text in _texts(self._data):
+        for text in _decompressed_parts(self._data):
             yield from _codec.loads(text, list[Event])
 
 
-def _texts(data):
+def _decompressed_parts(data):
     """Yield the JSON text of each part."""
     if not data:
         return
@@ -55,15 +55,15 @@
     text = b""
     # The decompressor may still hold output after it has consumed all input.
     while not decompressor.eof:
-        piece = decompressor.decompress(data, _READ_BYTES)
+        output = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
         data = decompressor.unconsumed_tail
-        if not piece and not data and not decompressor.eof:
+        if not output and not data and not decompressor.eof:
             # If a truncated feed were accepted, its version would count as applied
             # although its last events are missing. The error makes the reader fetch
             # the feed again.
             raise TamarackhavenError(
                 ErrorKind.INTERNAL, "the data of a feed is truncated"
             )
-        text += piece
-        *whole, text = text.split(_END)
+        text += output
+        *whole, text = text.split(_SEPARATOR)
         yield from whole
--- a/tamarackhaven/_fetch_pace.py
+++ b/tamarackhaven/_fetch_pace.py
@@ -6,23 +6,23 @@
 """
 
 # Interval while the map isn't confirmed: no lease yet, or no replies to renewals.
-FETCH_EVERY_S = 1.0
+UNCONFIRMED_INTERVAL_S = 1.0
 # Interval while replies confirm the map; the fetch only keeps the connection open.
 QUIET_EVERY_S = 15.0
 # Interval while a newer version is known, as the control VM may lag a little.
 RETRY_S = 0.05
-UNCONFIRMED_S = 1.0
+CONFIRMATION_TTL_S = 1.0
 
 
 class FetchPace:
     """Decides whether a fetch is due; all times are in seconds of one clock."""
 
     def __init__(self):
-        self._asked_at = float("-inf")
+        self._fetched_at_s = float("-inf")
 
     def asked(self, now):
         """Record that a fetch starts at ``now``."""
-        self._asked_at = now
+        self._fetched_at_s = now
 
     def is_due(self, now, is_behind, has_lease, confirmed_at):
         """Return whether to fetch now.
@@ -38,12 +38,12 @@
         confirmed_at : float
             When a majority of control VMs last had no newer version.
         """
-        return now - self._asked_at >= _pause_s(
-            is_behind, has_lease and now - confirmed_at < UNCONFIRMED_S
+        return now - self._fetched_at_s >= _interval_s(
+            is_behind, has_lease and now - confirmed_at < CONFIRMATION_TTL_S
         )
 
 
-def _pause_s(is_behind, is_confirmed):
+def _interval_s(is_behind, is_confirmed):
     if is_behind:
         return RETRY_S
-    return QUIET_EVERY_S if is_confirmed else FETCH_EVERY_S
+    return QUIET_EVERY_S if is_confirmed else UNCONFIRMED_INTERVAL_S
--- a/tamarackhaven/_history.py
+++ b/tamarackhaven/_history.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-VERSIONS_KEPT = 4096
-EVENTS_KEPT = 100_000
+MAX_VERSIONS = 4096
+MAX_EVENTS = 100_000
 
 
 @attrs.frozen
@@ -41,12 +41,12 @@
         Maximum number of events; those of the newest version are always retained.
     """
 
-    def __init__(self, versions=VERSIONS_KEPT, events=EVENTS_KEPT):
-        self._versions = versions
-        self._events = events
-        self._count = 0
-        self._by_version = collections.deque()
-        self._floor = 0
+    def __init__(self, versions=MAX_VERSIONS, events=MAX_EVENTS):
+        self._max_versions = versions
+        self._max_events = events
+        self._event_count = 0
+        self._events_by_version = collections.deque()
+        self._min_version = 0
         self.version = 0
 
     def add(self, version, events):
@@ -54,22 +54,25 @@
         self.version = version
         if not events:
             return
-        self._by_version.append((version, events))
-        self._count += len(events)
-        while self._over():
-            self._floor, dropped = self._by_version.popleft()
-            self._count -= len(dropped)
-
-    def _over(self):
-        if len(self._by_version) <= 1:
+        self._events_by_version.append((version, events))
+        self._event_count += len(events)
+        while self._exceeds_limits():
+            self._min_version, dropped = self._events_by_version.popleft()
+            self._event_count -= len(dropped)
+
+    def _exceeds_limits(self):
+        if len(self._events_by_version) <= 1:
             return False
-        return len(self._by_version) > self._versions or self._count > self._events
+        return (
+            len(self._events_by_version) > self._max_versions
+            or self._event_count > self._max_events
+        )
 
     def restart(self, version):
         """Drop all events, as a snapshot at ``version`` has replaced the state."""
-        self._by_version.clear()
-        self._count = 0
-        self._floor = version
+        self._events_by_version.clear()
+        self._event_count = 0
+        self._min_version = version
         self.version = version
 
     def since(self, version):
@@ -77,11 +80,11 @@
 
         Also None for a version above the present one, as of another log.
         """
-        if version < self._floor or version > self.version:
+        if version < self._min_version or version > self.version:
             return None
         events = []
-        for at, some in reversed(self._by_version):
+        for at, version_events in reversed(self._events_by_version):
             if at <= version:
                 break
-            events[:0] = some
+            events[:0] = version_events
         return events
--- a/tamarackhaven/_resources.py
+++ b/tamarackhaven/_resources.py
@@ -15,14 +15,14 @@
 )
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
-SHARDS_MAX = 65_536
-DEADLINE_MS_MAX = 600_000
-BODY_BYTES_MAX = 64 << 20
-SLOTS_MAX = 10_000
-WINDOW_S_MAX = 86_400
-MOVE_BATCH_MAX = 65_536
-PINNED_MAX = 1024
+NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
+MAX_SHARDS = 65_536
+MAX_DEADLINE_MS = 600_000
+MAX_BODY_BYTES = 64 << 20
+MAX_SLOTS = 10_000
+MAX_BOOKING_WINDOW_S = 86_400
+MAX_MOVE_BATCH = 65_536
+MAX_PINNED_KEYS = 1024
 
 
 def key_of(resource):
@@ -34,11 +34,11 @@
     return TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
 
 
-def _in_range(name, value, low, high):
+def _check_range(name, value, minimum, maximum):
     if isinstance(value, bool) or not isinstance(value, int):
         raise _invalid(f"{name} must be an integer.")
-    if not low <= value <= high:
-        raise _invalid(f"{name} is {value}, but must be from {low} to {high}.")
+    if not minimum <= value <= maximum:
+        raise _invalid(f"{name} is {value}, but must be from {minimum} to {maximum}.")
 
 
 def check_name(name):
@@ -49,7 +49,7 @@
     TamarackhavenError
         INVALID_RESOURCE, with the name.
     """
-    if not isinstance(name, str) or not NAME.fullmatch(name):
+    if not isinstance(name, str) or not NAME_PATTERN.fullmatch(name):
         raise _invalid(
             f"The name {name!r} must be 1 to 63 characters of a-z, 0-9 and '-', and "
             "must not start or end with '-'."
@@ -80,40 +80,42 @@
 @check_resource.register
 def _(resource: AvailabilityZone, old, state):
     if resource.state is ZoneState.OUT and (old is None or old.state is ZoneState.IN):
-        _check_held(state, zone_out=resource.name)
+        _check_all_policies(state, zone_out=resource.name)
 
 
 @check_resource.register
 def _(resource: OwnershipPolicy, old, state):
-    _in_range("min_targets", resource.min_targets, 0, 10_000)
-    _in_range("move_batch", resource.move_batch, 1, MOVE_BATCH_MAX)
-    _in_range("max_pinned_keys", resource.max_pinned_keys, 0, PINNED_MAX)
+    _check_range("min_targets", resource.min_targets, 0, 10_000)
+    _check_range("move_batch", resource.move_batch, 1, MAX_MOVE_BATCH)
+    _check_range("max_pinned_keys", resource.max_pinned_keys, 0, MAX_PINNED_KEYS)
     users = [s.name for s in state.services if s.policy == resource.name]
     if old is not None and users:
         _check_same_mode(old.mode, resource.mode)
     for service in state.services:
         if service.policy == resource.name:
-            _check_targets(state, service, resource, zone_out="")
+            _check_min_targets(state, service, resource, zone_out="")
 
 
 @check_resource.register
 def _(resource: Service, old, state):
-    _in_range("shard_count", resource.shard_count, 1, SHARDS_MAX)
+    _check_range("shard_count", resource.shard_count, 1, MAX_SHARDS)
     if resource.shard_count & (resource.shard_count - 1):
         raise _invalid("shard_count must be a power of two.")
     if old is not None and old.shard_count != resource.shard_count:
         raise _invalid("shard_count can't change: every key would get another shard.")
-    _in_range("default_deadline_ms", resource.default_deadline_ms, 1, DEADLINE_MS_MAX)
-    _in_range("max_body_bytes", resource.max_body_bytes, 0, BODY_BYTES_MAX)
-    _in_range("slots", resource.slots, 1, SLOTS_MAX)
-    _in_range("booking_window_s", resource.booking_window_s, 1, WINDOW_S_MAX)
+    _check_range(
+        "default_deadline_ms", resource.default_deadline_ms, 1, MAX_DEADLINE_MS
+    )
+    _check_range("max_body_bytes", resource.max_body_bytes, 0, MAX_BODY_BYTES)
+    _check_range("slots", resource.slots, 1, MAX_SLOTS)
+    _check_range("booking_window_s", resource.booking_window_s, 1, MAX_BOOKING_WINDOW_S)
     policy = state.resource("OwnershipPolicy", resource.policy)
     if policy is None:
         raise _invalid(f"There is no ownership policy {resource.policy!r}.")
     if old is not None:
-        former = state.resource("OwnershipPolicy", old.policy)
-        _check_same_mode(former.mode, policy.mode)
-    _check_targets(state, resource, policy, zone_out="")
+        old_policy = state.resource("OwnershipPolicy", old.policy)
+        _check_same_mode(old_policy.mode, policy.mode)
+    _check_min_targets(state, resource, policy, zone_out="")
 
 
 def _check_same_mode(old_mode, new_mode):
@@ -157,27 +159,27 @@
 
 @check_delete.register
 def _(resource: AvailabilityZone, state):
-    users = [m for m in state.members if m.zone == resource.name and _present(m)]
-    _refuse_users(resource, [f"target {m.service}/{m.target}" for m in users])
+    users = [m for m in state.members if m.zone == resource.name and _is_not_lost(m)]
+    _check_unused(resource, [f"target {m.service}/{m.target}" for m in users])
 
 
 @check_delete.register
 def _(resource: OwnershipPolicy, state):
     users = [s.name for s in state.services if s.policy == resource.name]
-    _refuse_users(resource, [f"service {name}" for name in users])
+    _check_unused(resource, [f"service {name}" for name in users])
 
 
 @check_delete.register
 def _(resource: Service, state):
-    users = [m for m in state.members if m.service == resource.name and _present(m)]
-    _refuse_users(resource, [f"target {m.target}" for m in users])
+    users = [m for m in state.members if m.service == resource.name and _is_not_lost(m)]
+    _check_unused(resource, [f"target {m.target}" for m in users])
 
 
-def _present(member):
+def _is_not_lost(member):
     return member.state is not TargetState.LOST
 
 
-def _refuse_users(resource, users):
+def _check_unused(resource, users):
     if users:
         names = ", ".join(users[:5])
         raise TamarackhavenError(
@@ -185,14 +187,14 @@
         )
 
 
-def _check_held(state, zone_out):
+def _check_all_policies(state, zone_out):
     """Refuse to take out a zone that leaves any policy with too few targets."""
     for service in state.services:
         policy = state.resource("OwnershipPolicy", service.policy)
-        _check_targets(state, service, policy, zone_out)
+        _check_min_targets(state, service, policy, zone_out)
 
 
-def _check_targets(state, service, policy, zone_out):
+def _check_min_targets(state, service, policy, zone_out):
     zones_in = {z.name for z in state.zones if z.state is ZoneState.IN} - {zone_out}
     held = [
         member
--- a/tamarackhaven/_rules.py
+++ b/tamarackhaven/_rules.py
@@ -79,7 +79,7 @@
         detail = f"{change.kind} {change.name!r}"
         raise TamarackhavenError(ErrorKind.NOT_FOUND, detail)
     if change.expected_version != old.version:
-        raise _conflict(old)
+        raise _conflict_error(old)
     check_delete(old, state)
     state.remove_resource(change.kind, change.name, index)
     subject = f"{change.kind}/{change.name}"
@@ -99,12 +99,12 @@
     if state.resource("AvailabilityZone", change.zone) is None:
         raise TamarackhavenError(ErrorKind.UNKNOWN_ZONE, change.zone)
     old = state.member(change.service, change.target)
-    same = old is not None and old.instance == change.instance
+    is_same_process = old is not None and old.instance == change.instance
     # The leader may miss the reports of an old process that still holds its lease. If
     # a new process were admitted and released a shard meanwhile, two targets would
     # serve the same key. The epoch of a lost target is fenced by a majority, so its
     # process can never hold a lease again.
-    if old is not None and not same and old.state is not TargetState.LOST:
+    if old is not None and not is_same_process and old.state is not TargetState.LOST:
         raise TamarackhavenError(
             ErrorKind.NAME_CLAIMED,
             f"Instance {old.instance!r} holds {change.service}/{change.target}.",
@@ -120,28 +120,28 @@
         epoch=index,
     )
     state.put_member(member, index)
-    _take_over(state, member, same, index)
+    _transfer_grants(state, member, is_same_process, index)
     result = f"{change.target} joined with epoch {index}"
     state.decide(index, change.service, f"instance {change.instance}", result)
     return Outcome(version=index, member=state.member(change.service, change.target))
 
 
-def _take_over(state, member, same_instance, index):
+def _transfer_grants(state, member, is_same_process, index):
     """Transfer the shards of an earlier epoch of this target to the new epoch.
 
     The same process keeps its grant numbers: no other target owned the shards in
     between, so its ledger of bookings is complete. Another process gets new numbers.
     """
-    for grant in _owned(state, member.service, member.target):
-        if same_instance:
+    for grant in _grants_of(state, member.service, member.target):
+        if is_same_process:
             state.put_grant(attrs.evolve(grant, epoch=member.epoch), index)
         else:
-            _grant(state, grant, member, index, grant.moving_to)
+            _grant_to(state, grant, member, index, grant.moving_to)
 
 
 @apply_change.register
 def _(change: LeaveTarget, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     if member.state is TargetState.ACTIVE:
         state.put_member(attrs.evolve(member, state=TargetState.LEAVING), index)
         state.decide(index, change.service, f"{change.target} said so", "leaving")
@@ -149,30 +149,30 @@
 
 @apply_change.register
 def _(change: RetireTarget, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     state.put_member(attrs.evolve(member, state=TargetState.LOST), index)
-    owned = _owned(state, change.service, change.target)
+    owned = _grants_of(state, change.service, change.target)
     for grant in owned:
-        _hand_over(state, grant, index)
+        _complete_move(state, grant, index)
     result = f"{change.target} epoch {change.epoch} retired"
     shards = [grant.shard for grant in owned]
     state.decide(index, change.service, change.cause, result, shards)
 
 
-def _hand_over(state, grant, index):
+def _complete_move(state, grant, index):
     """Grant a shard to ``moving_to``; leave it unowned if that is ineligible.
 
     Its owner has released the shard or is lost.
     """
     member = state.member(grant.service, grant.moving_to)
-    if not _eligible(state, member):
-        free = attrs.evolve(grant, owner="", epoch=0, moving_to="")
-        state.put_grant(free, index)
+    if not _is_eligible(state, member):
+        unowned = attrs.evolve(grant, owner="", epoch=0, moving_to="")
+        state.put_grant(unowned, index)
         return
-    _grant(state, grant, member, index)
+    _grant_to(state, grant, member, index)
 
 
-def _grant(state, grant, member, index, moving_to=""):
+def _grant_to(state, grant, member, index, moving_to=""):
     state.put_grant(
         attrs.evolve(
             grant,
@@ -195,7 +195,7 @@
         member = state.member(change.service, move.to_target)
         if grant is None or grant.grant != move.grant:
             continue
-        if not _eligible(state, member):
+        if not _is_eligible(state, member):
             continue
         _move(state, grant, member, index)
         moved.append(move.shard)
@@ -205,7 +205,7 @@
 
 def _move(state, grant, member, index):
     if not grant.owner:
-        _grant(state, grant, member, index)
+        _grant_to(state, grant, member, index)
     elif grant.owner == member.target:
         state.put_grant(attrs.evolve(grant, moving_to=""), index)
     else:
@@ -214,23 +214,23 @@
 
 @apply_change.register
 def _(change: ReleaseShards, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     grants = state.grants(change.service)
     released = []
-    for wanted in change.grants:
-        grant = grants.get(wanted.shard)
-        if grant is None or grant.grant != wanted.grant:
+    for requested in change.grants:
+        grant = grants.get(requested.shard)
+        if grant is None or grant.grant != requested.grant:
             continue
         if grant.owner != change.target:
             continue
         if grant.moving_to:
-            _hand_over(state, grant, index)
+            _complete_move(state, grant, index)
         else:
             # The move was cancelled while the owner was releasing the shard. The owner
             # gets it back under a new grant number, because it admits nothing more
             # under a number that it has released.
-            _grant(state, grant, member, index)
-        released.append(wanted.shard)
+            _grant_to(state, grant, member, index)
+        released.append(requested.shard)
     result = f"{change.target} released {len(released)}"
     state.decide(index, change.service, "planned move", result, released)
 
@@ -279,7 +279,7 @@
     state.decide(index, change.service, change.cause, "key unpinned", shards)
 
 
-def _eligible(state, member):
+def _is_eligible(state, member):
     """Return whether shards may be granted to a target.
 
     The placement has checked this before, but an availability zone may have been taken
@@ -291,11 +291,11 @@
     return zone is not None and zone.state is ZoneState.IN
 
 
-def _owned(state, service, target):
+def _grants_of(state, service, target):
     return [g for g in state.grants(service).values() if g.owner == target]
 
 
-def _current(state, service, target, epoch):
+def _require_current_member(state, service, target, epoch):
     """Return the target, or refuse an ``epoch`` that isn't its current one.
 
     Raises
@@ -314,7 +314,7 @@
     return member
 
 
-def _conflict(old):
+def _conflict_error(old):
     error = TamarackhavenError(
         ErrorKind.VERSION_CONFLICT, f"{old.name!r} is at version {old.version}."
     )
@@ -334,4 +334,4 @@
         error.version = old.version
         raise error
     if expected != old.version:
-        raise _conflict(old)
+        raise _conflict_error(old)
--- a/tamarackhaven/_state.py
+++ b/tamarackhaven/_state.py
@@ -28,9 +28,9 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 # At 1,200 changes a day, a change can be resent for over a week.
-OUTCOMES_KEPT = 10_000
+MAX_OUTCOMES = 10_000
 # At 300 replaced VMs a day, these are the lost targets of three days.
-LOST_KEPT = 1000
+MAX_LOST_TARGETS = 1000
 
 
 @attrs.frozen
@@ -69,12 +69,12 @@
     @property
     def services(self):
         """All services, as a list."""
-        return self._of_kind("Service")
+        return self._resources_of_kind("Service")
 
     @property
     def zones(self):
         """All availability zones, as a list."""
-        return self._of_kind("AvailabilityZone")
+        return self._resources_of_kind("AvailabilityZone")
 
     @property
     def members(self):
@@ -118,15 +118,15 @@
         self._decided_at = command.at_unix_s
         self.version = index
         change = command.change
-        first = self._first_outcome(change)
+        first = self._stored_outcome(change)
         if first is not None:
             return first, []
         try:
             outcome = apply_change(change, self, index) or Outcome(version=index)
         except TamarackhavenError as error:
             self._events = []
-            outcome = _refused(error)
-        self._remember(change, outcome)
+            outcome = _refusal_outcome(error)
+        self._store_outcome(change, outcome)
         return outcome, self._events
 
     def snapshot(self):
@@ -154,28 +154,28 @@
         state = cls()
         state.version = snapshot.version
         for event in snapshot.events:
-            state._restore(event)
+            state._restore_event(event)
         for first in snapshot.outcomes:
             state._outcomes_by_change_id[first.change_id] = first
         for decision in snapshot.decisions:
             state.decisions.add(decision)
         return state
 
-    def _restore(self, event):
+    def _restore_event(self, event):
         if isinstance(event, ResourceChanged):
             self._resources_by_key[key_of(event.resource)] = event.resource
         elif isinstance(event, TargetChanged):
-            self._keep_member(event.member)
+            self._store_member(event.member)
         elif isinstance(event, ShardChanged):
             grants = self._grants_by_service.setdefault(event.grant.service, {})
             grants[event.grant.shard] = event.grant
 
-    def _of_kind(self, kind):
+    def _resources_of_kind(self, kind):
         return [r for (k, _), r in self._resources_by_key.items() if k == kind]
 
     # An operator resends a change whose outcome was lost. Applying it again would
     # fail with a conflict with the operator's own change, or apply it twice.
-    def _first_outcome(self, change):
+    def _stored_outcome(self, change):
         change_id = getattr(change, "change_id", "")
         first = self._outcomes_by_change_id.get(change_id)
         if first is None:
@@ -185,13 +185,13 @@
             return Outcome(ErrorKind.CHANGE_ID_REUSED.value, detail, self.version)
         return first.outcome
 
-    def _remember(self, change, outcome):
+    def _store_outcome(self, change, outcome):
         change_id = getattr(change, "change_id", "")
         if not change_id:
             return
         first = FirstOutcome(change_id, _digest(change), outcome)
         self._outcomes_by_change_id[change_id] = first
-        if len(self._outcomes_by_change_id) > OUTCOMES_KEPT:
+        if len(self._outcomes_by_change_id) > MAX_OUTCOMES:
             self._outcomes_by_change_id.popitem(last=False)
 
     # Modifications by the rules; each also records an event for watchers.
@@ -217,17 +217,17 @@
             for shard in list(self.grants(name)):
                 self.remove_shard(name, shard, index)
             for member in [m for m in self.members if m.service == name]:
-                self._forget_member(member)
+                self._delete_member(member)
 
     def put_member(self, member, index):
         """Store a target; above ``MAX_LOST_TARGETS`` the oldest lost one is removed."""
         member = attrs.evolve(member, version=index)
-        self._keep_member(member)
+        self._store_member(member)
         self._events.append(TargetChanged(index, member))
         if member.state is TargetState.LOST:
-            self._forget_lost(index)
+            self._limit_lost_targets(index)
 
-    def _forget_lost(self, index):
+    def _limit_lost_targets(self, index):
         """Limit the number of lost targets in the state.
 
         Each replaced VM has a new name, so without a limit the state would grow in
@@ -235,16 +235,16 @@
         so nothing depends on the removed record.
         """
         lost = [m for m in self.members if m.state is TargetState.LOST]
-        if len(lost) > LOST_KEPT:
+        if len(lost) > MAX_LOST_TARGETS:
             oldest = min(lost, key=lambda member: member.version)
-            self._forget_member(oldest)
+            self._delete_member(oldest)
             self._events.append(TargetRemoved(index, oldest.service, oldest.target))
 
-    def _forget_member(self, member):
+    def _delete_member(self, member):
         del self._members_by_key[member.service, member.target]
         del self._key_by_epoch[member.epoch]
 
-    def _keep_member(self, member):
+    def _store_member(self, member):
         key = member.service, member.target
         old = self._members_by_key.get(key)
         if old is not None:
@@ -269,7 +269,7 @@
     return hashlib.blake2b(_codec.dumps(change, Change), digest_size=16).hexdigest()
 
 
-def _refused(error):
+def _refusal_outcome(error):
     version = getattr(error, "version", 0)
     return Outcome(error.kind.value, error.detail, version)
 
--- a/tests/test_feed_wire.py
+++ b/tests/test_feed_wire.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tamarackhaven._events import ResourceDeleted, ShardChanged
-from tamarackhaven._feed_wire import PART_EVENTS, PackedEvents, pack
+from tamarackhaven._feed_wire import MAX_PART_EVENTS, PackedEvents, pack
 from tamarackhaven._history import Feed
 from tamarackhaven._model import ShardGrant
 from tamarackhaven._view import View
@@ -19,7 +19,7 @@
 
 
 def test_events_are_read_back_and_again():
-    for count in (0, 1, PART_EVENTS, 3 * PART_EVENTS + 1):
+    for count in (0, 1, MAX_PART_EVENTS, 3 * MAX_PART_EVENTS + 1):
         events = [*events_of(count), ResourceDeleted(9, "Service", "line\nend")]
         packed = PackedEvents(pack(events))
         assert list(packed) == list(packed) == events
@@ -28,7 +28,7 @@
 
 
 def test_a_feed_that_is_cut_off_changes_nothing():
-    data = pack(events_of(3 * PART_EVENTS))
+    data = pack(events_of(3 * MAX_PART_EVENTS))
     for snapshot in (True, False):
         view = View()
         with pytest.raises(TamarackhavenError):
@@ -43,7 +43,7 @@
     The feed arrives packed. All of it as records takes some 1,200 bytes a shard; read
     a part at a time, the peak stays far below that and hardly grows with the shards.
     """
-    count = 32 * PART_EVENTS
+    count = 32 * MAX_PART_EVENTS
     data = pack(events_of(count))
     view = View()
     tracemalloc.start()
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -151,7 +151,7 @@
 
 
 def test_lost_targets_are_forgotten_at_last(log, monkeypatch):
-    monkeypatch.setattr(_state, "LOST_KEPT", 2)
+    monkeypatch.setattr(_state, "MAX_LOST_TARGETS", 2)
     for number in range(4):
         epoch = log.join(f"t{number}").version
         log.do(RetireTarget("rota", f"t{number}", epoch))
