--- a/tests/broken_files.py
+++ b/tests/broken_files.py
@@ -1,4 +1,4 @@
-"""File operations that fail on demand, for tests."""
+"""File operations with injected failures, for tests."""
 
 import errno
 import os
@@ -7,7 +7,12 @@
 
 
 class BrokenFiles(_files.Files):
-    """Real files that fail on demand; records what was done in order."""
+    """Real file operations that fail as ``failure`` says; ``done`` records the calls.
+
+    ``failure`` is empty, "full", "short", "slow", "sync", "rename" or "remove". "slow"
+    writes at most 7 bytes per call; "short" writes half of the data, then fails as
+    "full"; "sync" fails once.
+    """
 
     def __init__(self):
         self.failure = ""
--- a/tests/raft_group.py
+++ b/tests/raft_group.py
@@ -1,4 +1,4 @@
-"""Members of one group over a network and disks made of plain lists, for tests."""
+"""Simulated consensus group for tests, with an in-memory network and disks."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Disk:
-    """What one member has synced."""
+    """Synced state of one member, in memory."""
 
     def __init__(self, first):
         self.hard_state = HardState()
@@ -44,7 +44,7 @@
                 self._replace(write.snapshot)
 
     def check_equals(self, node):
-        """Compare the log in memory with this naive one."""
+        """Check that the member's log ends at the same index and term as this one."""
         last = self.entries[-1].index if self.entries else self.snapshot.index
         assert node.last_index == last
         assert node.snapshot_at(last, b"").term == (
@@ -60,10 +60,10 @@
 
 
 class Group:
-    """Runs members by hand: nothing moves unless a test says so.
+    """Group of Raft members; a test controls its messages and its time.
 
-    ``committed_by_index`` is the naive record: the first member to commit an index
-    says what it is, and all others must agree for ever.
+    ``committed_by_index`` holds the entry that the first member committed at each
+    index; every later commit of that index, by any member, must be equal to it.
     """
 
     def __init__(self, *names, seed=0, settings=SETTINGS):
@@ -104,7 +104,7 @@
         del self.nodes[name]
 
     def take(self, name, output, syncs=True):
-        """Carry out an output; without ``syncs`` the member crashes before it."""
+        """Process an output; without ``syncs`` the member crashes before its sync."""
         if not syncs:
             self.crash(name)
             return
@@ -162,15 +162,15 @@
             self.take(message.receiver, output, syncs)
 
     def settle(self):
-        """Deliver until nothing is on the wire."""
+        """Deliver messages until none is in flight."""
         for _ in range(10_000):
             if not self.wire:
                 return
             self.deliver(self.wire.pop(0))
-        raise AssertionError("the members never fall silent")
+        raise AssertionError("the members still send messages after 10,000 deliveries")
 
     def run(self, seconds, step=0.01):
-        """Tick all members and deliver everything, for some time."""
+        """Tick all members and deliver all messages, for ``seconds`` in steps."""
         for _ in range(round(seconds / step)):
             self.now = round(self.now + step, 6)
             for name in sorted(self.nodes):
@@ -178,7 +178,7 @@
             self.settle()
 
     def elect(self, name):
-        """Let ``name`` alone run out of patience; return it as leader."""
+        """Let only ``name`` reach its election timeout; return it as leader."""
         self.now += 1.0
         self.tick(name)
         self.settle()
@@ -208,7 +208,7 @@
             self.take(name, node.compacted(snapshot))
 
     def cut(self, *names):
-        """Cut ``names`` from all others, both ways."""
+        """Partition ``names`` from all other members, in both directions."""
         for one in names:
             for other in set(self.disks) - set(names):
                 self.blocked |= {(one, other), (other, one)}
@@ -218,7 +218,7 @@
 
 
 def render(item):
-    """One line for a person: class name, then fields that say something."""
+    """Return a readable line: the class name, then all fields except the sender."""
     if isinstance(item, tuple):
         return "[" + " ".join(render(each) for each in item) + "]"
     kind = type(item).__name__
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Tests of the running member: three of them in one process, real threads."""
+"""Tests of running members: groups in one process, with real threads and files."""
 
 import itertools
 import random
@@ -23,7 +23,7 @@
 
 
 class ListMachine:
-    """Applied state is the list of commands."""
+    """State machine whose state is the list of applied commands."""
 
     def __init__(self):
         self.commands = []
@@ -48,7 +48,7 @@
 
 
 class Trio:
-    """Members that reach each other by a call, as bytes of the wire format."""
+    """Up to three running members that exchange encoded messages by direct calls."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -104,7 +104,7 @@
         if result := condition():
             return result
         time.sleep(0.005)
-    raise AssertionError("not within the wait")
+    raise AssertionError("the condition was not met in time")
 
 
 @pytest.fixture
@@ -118,7 +118,7 @@
 
 
 def committed(trio, command):
-    """Propose until it is confirmed, as an operator would; return the leader."""
+    """Propose a command, with retries, until it is committed; return the leader."""
     for _ in range(100):
         leader = trio.leader()
         try:
@@ -126,7 +126,7 @@
             return leader
         except TamarackhavenError as error:
             assert error.kind in (ErrorKind.NO_QUORUM, ErrorKind.CHANGE_UNCONFIRMED)
-    raise AssertionError("never confirmed")
+    raise AssertionError("the command was not confirmed after 100 attempts")
 
 
 def test_every_member_applies_what_was_confirmed_and_keeps_it(trio):
@@ -148,11 +148,11 @@
 
 
 def test_leader_cut_off_answers_at_once_that_it_does_not_know(trio):
-    """A caller's change is in the log of a leader that nobody hears any more.
+    """Guards against a caller that waits indefinitely at a partitioned leader.
 
-    The leader is cut off, gets a change, hears no quorum for an election timeout and
-    steps down. The caller gets CHANGE_UNCONFIRMED then and is not kept waiting; the
-    others elect a leader, and the old one returns without that change.
+    The leader appends a change, gets no replies from a quorum for an election timeout
+    and steps down. The caller must get CHANGE_UNCONFIRMED at that time; the others
+    elect a leader, and the old one returns without that change.
     """
     old = committed(trio, b"kept")
     name = old.status().name
@@ -166,7 +166,8 @@
 
 
 def test_a_change_decided_in_a_former_term_never_comes_into_the_log(trio):
-    # Guards against: what was decided before another leader's grants takes effect.
+    # Guards against a change that was decided before another leader's grants and takes
+    # effect after them.
     leader = committed(trio, b"first")
     term = leader.status().term
     error = leader.propose(b"late", term - 1).exception(WAIT_S)
@@ -177,11 +178,11 @@
 
 @pytest.mark.parametrize("failure", ["sync", "full"], ids=["failed sync", "full disk"])
 def test_failed_disk_stops_the_member_and_the_others_go_on(trio, failure):
-    """A caller's change waits at a leader whose disk fails under it.
+    """Guards against a wrong answer after a disk failure at the leader.
 
-    The write or its sync fails; the entry may be on the disk or not, so the caller
-    hears CHANGE_UNCONFIRMED, later callers hear the disk's error, the member votes
-    and answers no more, and the two others elect a leader and serve.
+    The write or its sync fails while a change is pending. The entry may be on the disk
+    or not, so the caller must get CHANGE_UNCONFIRMED and later callers the error of the
+    disk. The member must stop, and the other two elect a leader and commit.
     """
     leader = committed(trio, b"kept")
     name = leader.status().name
@@ -198,10 +199,10 @@
 
 
 def test_member_with_a_lost_disk_comes_back_under_a_new_name(trio):
-    """Operators replace a VM whose disk is gone, and a second VM is lost right after.
+    """Guards against an outage after a lost disk and the loss of a second VM.
 
-    The lost member is removed, a new one joins empty, catches up by snapshot, is
-    promoted; then another old member stops. Changes are still confirmed.
+    The member without its disk is removed; a new one joins empty, catches up by
+    snapshot and is promoted; then another old member stops. Changes must still commit.
     """
     leader = committed(trio, b"0")
     lost = next(name for name in "abc" if name != leader.status().name)
@@ -240,10 +241,11 @@
 
 
 def test_burst_beyond_the_limit_is_refused_at_once(tmp_path, monkeypatch):
-    """More changes arrive than the group can commit while its disk is busy.
+    """Guards against changes that wait past their deadline in an unbounded queue.
 
-    Those within the limit are confirmed; the others hear at once that their change
-    is not in the log and when to come back, instead of waiting past their deadline.
+    More changes arrive than the group can commit while it is busy. Those within the
+    limit are confirmed; the others fail at once with CONTROL_BUSY, which says that they
+    aren't in the log, and with a retry delay.
     """
     monkeypatch.setattr(_consensus, "MAX_PENDING_CHANGES", 2)
     trio = Trio(tmp_path)
@@ -269,10 +271,11 @@
 
 
 def test_nothing_is_answered_before_it_is_synced(tmp_path):
-    """A follower's disk fails under entries that the leader has sent.
+    """Guards against a reply for entries that a follower hasn't synced.
 
-    An answer that left before the sync would let the leader confirm a change to its
-    caller that is on one disk only. No message may leave, and none ever after.
+    The follower's disk fails while it stores entries of the leader. With a reply before
+    the sync, the leader would confirm a change that is on one disk only. The follower
+    must send no message, then or later.
     """
     sent, fatal, files = [], [], BrokenFiles()
     storage = Storage.open(tmp_path, files)
--- a/tests/test_feed_wire.py
+++ b/tests/test_feed_wire.py
@@ -1,4 +1,4 @@
-"""Tests of a feed's bytes."""
+"""Tests of the compressed encoding of feeds."""
 
 import tracemalloc
 
@@ -38,10 +38,11 @@
 
 
 def test_a_first_feed_is_never_whole_in_memory():
-    """A daemon starts at a service with many shards and must stay within 64 MB.
+    """Guards against a first feed that exceeds a daemon's memory limit of 64 MB.
 
-    The feed arrives packed. All of it as records takes some 1,200 bytes a shard; read
-    a part at a time, the peak stays far below that and hardly grows with the shards.
+    A daemon that starts at a service with many shards gets a compressed feed. Decoded
+    at once it takes about 1,200 bytes per shard as records; decoded one part at a time,
+    the peak stays far below that and hardly grows with the number of shards.
     """
     count = 32 * MAX_PART_EVENTS
     data = pack(events_of(count))
--- a/tests/test_fetch_pace.py
+++ b/tests/test_fetch_pace.py
@@ -1,4 +1,4 @@
-"""Tests of when a daemon asks for news."""
+"""Tests of the intervals at which a daemon fetches map updates."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 @pytest.mark.parametrize(
     "is_behind, has_lease, confirmed_at, due_at",
     [
-        (False, True, 99.9, 115.0),  # answers say that there is nothing
-        (False, False, 99.9, 101.0),  # not joined: it still follows the map
-        (False, True, 98.0, 101.0),  # renewals are not answered
-        (True, True, 99.9, 100.05),  # news, but the control VM asked had none
+        (False, True, 99.9, 115.0),  # replies confirm the map
+        (False, False, 99.9, 101.0),  # no lease yet: fetches anyway
+        (False, True, 98.0, 101.0),  # no replies to renewals
+        (True, True, 99.9, 100.05),  # newer version known, but not fetched yet
     ],
 )
 def test_pause_after_a_fetch(is_behind, has_lease, confirmed_at, due_at):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Sessions of the consensus state machine, as golden text and as failures."""
+"""Tests of the Raft state machine: golden transcripts and failure cases."""
 
 import random
 
@@ -40,7 +40,7 @@
 
 
 def led(*names):
-    """A group whose first member leads and has committed its first entry."""
+    """Return a group whose first member leads and has committed its first entry."""
     group = Group(*names)
     group.elect(names[0])
     group.run(0.1)
@@ -53,7 +53,7 @@
     return caught.value.kind
 
 
-# Golden sessions.
+# Golden transcripts.
 
 
 def test_golden_election():
@@ -126,10 +126,10 @@
 
 
 def test_member_cut_off_for_long_returns_without_deposing_the_leader():
-    """Callers see no pause when a member that was silently cut off comes back.
+    """Guards against an election when a partitioned member returns.
 
-    It hears no leader for a long time and asks for pre-votes that nobody hears. Its
-    term stays, so its messages depose nobody when the cut ends.
+    It has no leader contact for 20 s, and its pre-vote requests are lost. Its term must
+    not rise, so that its messages don't depose the leader after the partition.
     """
     group = led("a", "b", "c")
     term = group.nodes["a"].term
@@ -143,10 +143,10 @@
 
 
 def test_members_that_start_together_elect_a_leader_sooner():
-    """Callers wait for a leader after a loss of power that nobody could have led.
+    """Guards against a full election timeout after a simultaneous start.
 
-    All members start at the same moment. None of them can have missed a leader's
-    heartbeat, so there is no reason to wait a whole election timeout for one.
+    All members start at the same time, as after a power failure. No leader can exist,
+    so the shorter first election timeout applies and callers wait less.
     """
     settings = attrs.evolve(SETTINGS, election_ms=500, first_election_ms=100)
     group = Group("a", "b", "c", settings=settings)
@@ -155,10 +155,10 @@
 
 
 def test_member_that_restarts_deposes_no_leader_by_its_short_first_wait():
-    """Callers see no pause when one member restarts while another leads.
+    """Guards against an election when one member restarts while another leads.
 
-    It runs out of patience before it hears the leader, and asks for pre-votes. The
-    others hear the leader and refuse.
+    Its short first timeout expires before it gets a heartbeat, and it requests
+    pre-votes. The others have leader contact and refuse.
     """
     settings = attrs.evolve(SETTINGS, election_ms=500, first_election_ms=20)
     group = Group("a", "b", "c", settings=settings)
@@ -176,10 +176,10 @@
 
 
 def test_leader_that_hears_nobody_steps_down():
-    """A caller of a leader on the far side of a partition gets no stale answer.
+    """Guards against a stale read from a leader that is partitioned from the quorum.
 
-    The leader's read waits for a quorum's round. It hears none within an election
-    timeout, steps down and drops the read; the others have a leader of their own.
+    Its read waits for a heartbeat round of a quorum. Without replies for an election
+    timeout it steps down and drops the read; the others elect another leader.
     """
     group = led("a", "b", "c")
     group.cut("a")
@@ -193,10 +193,10 @@
 
 
 def test_leader_that_stood_still_goes_on_if_nobody_took_over():
-    """A caller waits for a slow sync, not for an election on top of it.
+    """Guards against a needless election after a slow sync.
 
-    The leader's disk holds its thread for longer than an election timeout, and no
-    other has elected yet. Its own silence must not count as theirs.
+    A sync stalls the leader for longer than an election timeout, and no other leader
+    was elected. Replies missing because of its own pause must not make it step down.
     """
     group = led("a", "b", "c")
     term = group.nodes["a"].term
@@ -207,10 +207,10 @@
 
 
 def test_leader_that_is_heard_but_hears_nobody_is_replaced():
-    """A one-way cut: the leader's heartbeats arrive, no answer comes back.
+    """Guards against a group that commits nothing after a one-way network failure.
 
-    Heartbeats alone would keep the others from electing while nothing commits. The
-    leader hears no quorum, steps down, and another takes over.
+    The leader's heartbeats arrive, which keeps the others from an election, but their
+    replies are lost. The leader steps down without a quorum, and another is elected.
     """
     group = led("a", "b", "c")
     group.blocked = {("b", "a"), ("c", "a")}
@@ -222,10 +222,11 @@
 
 
 def test_follower_that_does_not_hear_the_leader_deposes_nobody():
-    """A one-way cut: the leader doesn't reach one follower, which reaches all.
+    """Guards against repeated elections after a one-way network failure.
 
-    It asks for votes again and again; the other follower hears the leader and
-    refuses, and so does the leader, so callers see no change of leader.
+    One follower doesn't get the leader's messages, but its own arrive everywhere. It
+    keeps requesting votes; the leader and the other follower refuse, so the leader
+    stays.
     """
     group = led("a", "b", "c")
     term = group.nodes["a"].term
@@ -236,11 +237,12 @@
 
 
 def test_entry_of_an_earlier_term_is_not_committed_by_counting():
-    """The case of figure 8 of the Raft paper.
+    """Guards against the loss of a committed entry, as in figure 8 of the Raft paper.
 
-    Leader a of term 2 leaves an entry on b only; e takes term 3 and keeps an entry to
-    itself; a leads again in term 4 and brings its old entry to a majority. e can
-    still win with its newer last term, so the old entry must not count as committed.
+    Leader a of term 2 replicates an entry to b only; e leads in term 3 and replicates
+    its entry to no other member; a leads again in term 4 and replicates its old entry
+    to a majority. e can still win an election with its newer last term, so the old
+    entry must not be committed yet.
     """
     group = Group("a", "b", "c", "d", "e")
     two, three = Entry(1, 2), Entry(1, 3)
@@ -259,7 +261,7 @@
         message = group.wire.pop(0)
         last = message.entries[-1:] if isinstance(message, Append) else ()
         if last and last[0].term == 4:
-            # The own entry of term 4 gets lost; the old one arrives everywhere.
+            # The new entry of term 4 is lost; the old one arrives everywhere.
             message = attrs.evolve(message, entries=message.entries[:-1])
         group.deliver(message)
     for message in [m for m in group.wire if isinstance(m, AppendReply)]:
@@ -278,10 +280,11 @@
 
 
 def test_leader_counts_its_own_log_only_once_it_is_synced():
-    """A group of one voter and a learner; a change waits for the voter's sync.
+    """Guards against the commit of an entry that the leader hasn't synced.
 
-    The learner answers a heartbeat meanwhile. Counting the unsynced entry would
-    confirm a change to its caller that a crash still takes away.
+    In a group of one voter and a learner, a change waits for the voter's sync, and the
+    learner replies to a heartbeat meanwhile. If the unsynced entry counted, a confirmed
+    change could be lost in a crash.
     """
     group = led("a")
     group.join("d")
@@ -296,7 +299,10 @@
 
 
 def test_member_that_does_not_answer_gets_few_snapshot_pieces():
-    """A lost member needs a snapshot; a full piece a heartbeat would fill the link."""
+    """Guards against a saturated link to a lost member that needs a snapshot.
+
+    A full chunk with every heartbeat would saturate it.
+    """
     group = led("a", "b", "c")
     group.cut("c")
     for number in range(10):
@@ -320,10 +326,10 @@
 
 
 def test_second_member_lost_right_after_a_repair():
-    """Callers are served when a VM is replaced and another is lost at once.
+    """Guards against an outage when another VM is lost right after a replacement.
 
-    The new member gets its vote only when it has caught up, so that with it and the
-    leader a quorum answers as soon as the second member is gone.
+    The new member may vote only once it has caught up, so that it and the leader form a
+    working quorum as soon as the second member is lost.
     """
     group = led("a", "b", "c")
     group.crash("c")
@@ -370,10 +376,11 @@
 
 
 def test_new_leader_changes_no_membership_before_its_first_commit():
-    """Two leaders without a common voter, if a change of an older term is still open.
+    """Guards against two leaders after overlapping membership changes.
 
-    The leader of a new term doesn't know whether the change that an earlier leader
-    began has a majority somewhere; its own committed entry settles that.
+    A new leader doesn't know whether a membership change of an earlier term is on a
+    majority, and a second change could lead to majorities without a common voter. The
+    first committed entry of its own term decides that.
     """
     group = Group("a", "b", "c")
     group.now += 1.0
@@ -410,10 +417,11 @@
 
 
 def test_read_waits_for_the_first_commit_of_the_term():
-    """A new leader may not know yet that an older leader's entry is committed.
+    """Guards against a read at a new leader that misses an acknowledged change.
 
-    A read confirmed at its own commit index would miss an acknowledged change; it
-    waits until the leader's first entry, which comes after that change, is committed.
+    The new leader may not know yet that an entry of an earlier leader is committed, so
+    its commit index may be too low. The read waits until the first entry of its own
+    term, which follows that change, is committed.
     """
     group = led("a", "b", "c")
     group.blocked = {("a", "c"), ("b", "a")}
@@ -442,11 +450,11 @@
 
     waiting, future = PendingRequests(), Future()
     waiting.add_proposal(3, 1, future)
-    waiting.complete_proposal(Entry(3, 2), "another's outcome")
+    waiting.complete_proposal(Entry(3, 2), "outcome of another entry")
     assert future.kind is ErrorKind.CHANGE_UNCONFIRMED
 
 
-# The wire.
+# Wire format.
 
 MESSAGES = [
     PreVote("a", "b", 3, 7, 2),
--- a/tests/test_raft_random.py
+++ b/tests/test_raft_random.py
@@ -1,4 +1,4 @@
-"""Random sessions of the consensus state machine against a naive record."""
+"""Random fault sequences on the Raft state machine, checked against a simple model."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class Session:
-    """One random session; every action may meet a member that is down."""
+    """One random sequence of actions; any action may hit a member that is down."""
 
     def __init__(self, seed):
         self.group = Group("a", "b", "c", seed=seed)
@@ -81,7 +81,7 @@
             self.group.wire.append(self.rng.choice(self.group.wire))
 
     def _torn(self, _number):
-        """The member takes a message in and is lost before its sync."""
+        """Deliver a message to a member that crashes before its sync."""
         if message := self._pop(0):
             self.group.deliver(message, syncs=False)
 
@@ -91,7 +91,7 @@
                 self.group.propose(name, b"%d" % number)
 
     def _read(self, number):
-        """A read must see all that any member had committed before it."""
+        """Read; the result must include all that any member had committed before."""
         if name := self._any_node():
             self.floor_by_token[number] = max(self.group.committed_by_index, default=0)
             output = self.group.nodes[name].read(number, self.group.now)
@@ -121,7 +121,7 @@
             self.group.compact(name)
 
     def _member(self, _number):
-        """Add a learner, promote one, or remove a member, as the group allows."""
+        """Promote a learner, remove a member or add one, depending on the group."""
         leader = self.group.leader()
         if leader is None:
             return
@@ -142,12 +142,13 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_faults_lose_no_committed_entry(seed):
-    """Callers see every acknowledged entry for ever, whatever fails.
-
-    Messages are dropped, doubled and reordered, members crash with or without their
-    last sync, links break one way or both, logs are compacted, members change. The
-    group checks at each commit that all agree, that a term has one leader, and that
-    logs equal the naive disks. At the end all heals, every member must catch up, and
-    no confirmed read may have missed what was committed before it.
+    """Guards against the loss of an acknowledged entry after any combination of faults.
+
+    Messages are dropped, duplicated and reordered, members crash with or without their
+    last sync, links fail in one direction or both, logs are compacted, and members
+    change. The group checks at each commit that all members agree, that a term has one
+    leader, and that logs match the simulated disks. At the end all faults are repaired,
+    every member must catch up, and no confirmed read may have missed an entry that was
+    committed before it.
     """
     Session(seed).run(1500)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of the replicated state: changes, versions, joins, grants."""
+"""Tests of the replicated state: changes, versions, joins and grants."""
 
 import collections
 import math
@@ -41,7 +41,7 @@
 
 
 class Log:
-    """Applies changes with rising indexes, as consensus does."""
+    """Applies changes with increasing indexes, like the replicated log."""
 
     def __init__(self):
         self.state = ClusterState()
@@ -95,10 +95,10 @@
 
 
 def test_of_two_racing_operators_one_wins_and_one_learns_the_version(log):
-    """Two operators read version 1 and both change the zone.
+    """Guards against a lost update when two operators change the same version.
 
-    The first change wins; the second gets a conflict with the version now in
-    force, instead of silently undoing what the first one was told is accepted.
+    Both read version 1. The first change is applied; the second must fail with a
+    conflict that holds the current version, and must not overwrite the first.
     """
     first = log.put(AvailabilityZone("a", "north"), expected=1)
     second = log.put(AvailabilityZone("a", "south"), expected=1)
@@ -109,10 +109,11 @@
 
 
 def test_resent_change_gets_its_first_outcome(log):
-    """An operator loses the answer and sends the same change again.
+    """Guards against a conflict of a resent change with itself.
 
-    Applied anew it would meet its own version and answer with a conflict, so
-    the operator would believe that somebody else won.
+    An operator doesn't get the outcome and sends the same change again. If it were
+    applied again, it would fail with a version conflict, which looks like a change by
+    another operator.
     """
     change = PutResource("c1", AvailabilityZone("a", "north"), 1)
     first = log.do(change)
@@ -141,7 +142,10 @@
 
 
 def test_mode_of_a_service_in_use_stays(log):
-    """A shared service made exclusive would have two kinds of owners for a while."""
+    """Guards against a change of mode while daemons still have the old map.
+
+    Daemons would then disagree on whether a key has one owner or any.
+    """
     shared = OwnershipPolicy("any", PolicyMode.SHARED)
     log.put(shared)
     wanted = OwnershipPolicy("alone", PolicyMode.SHARED)
@@ -171,10 +175,10 @@
 
 
 def test_owned_shard_changes_hands_only_by_release(log):
-    """The leader moves a shard whose owner still serves it.
+    """Guards against two targets that serve one key during a move.
 
-    Granted at once, two targets would serve the key until the old owner hears of
-    it. So the move waits for the release, which names the grant it gives back.
+    If a moved shard were granted at once, the old owner would serve it until it is
+    notified. So the move waits for the release, which names the released grant.
     """
     log.join("t1")
     log.join("t2")
@@ -201,10 +205,10 @@
 
 
 def test_retired_epoch_frees_shards_and_an_old_one_changes_nothing(log):
-    """A daemon freezes, is retired, wakes and joins again.
+    """Guards against a late retirement that removes the shards of a new epoch.
 
-    A second retirement, proposed for the old epoch by a leader that lagged, must
-    not take the shards of the new epoch away.
+    A paused daemon is retired, resumes and joins again. A lagging leader proposes a
+    second retirement for the old epoch, which must be refused.
     """
     epoch = log.join("t1").version
     log.move(0, "t1")
@@ -219,10 +223,11 @@
 
 
 def test_second_claimant_to_a_name_is_refused_until_the_first_is_retired(log):
-    """A daemon seems silent to the leader, and another one claims its name.
+    """Guards against two processes that serve under one target name.
 
-    Let in at once, the newcomer could hand a shard on while the first still holds its
-    lease from the other control VMs. A retired epoch can hold none.
+    The leader gets no reports from a daemon, and another daemon joins under its name.
+    If it were admitted at once, it could release a shard while the first still holds
+    its lease from other control VMs. A retired epoch can't hold a lease.
     """
     epoch = log.join("t1", instance="one").version
     log.move(0, "t1")
@@ -233,7 +238,7 @@
     assert log.join("t1", instance="two").code == ""
     assert log.state.member_by_epoch(epoch) is None
     log.move(0, "t1")
-    # A new process has no ledger of bookings, so the grant must be a new one.
+    # The new process has no ledger of bookings, so it must get a new grant number.
     assert log.grant(0).grant > before.grant
 
 
@@ -247,9 +252,10 @@
 
 
 def test_no_shard_goes_to_a_zone_taken_out_after_the_plan(log):
-    """The leader plans a move, an operator takes the zone out, then it commits.
+    """Guards against new work in a zone that is out.
 
-    Without the check at the entry itself the zone would get new work.
+    An operator takes the zone out after the leader has planned a move, and before the
+    move commits. The eligibility is checked again when the entry is applied.
     """
     log.join("t1", zone="b")
     log.put(AvailabilityZone("b", state=ZoneState.OUT), expected=2)
@@ -310,7 +316,7 @@
 @settings(derandomize=True, deadline=None, database=None, max_examples=100)
 @given(st.lists(zone_changes, max_size=25))
 def test_resources_agree_with_a_naive_store(changes):
-    """Change ids and versions collide at random; a naive store says who wins."""
+    """Compares random colliding change ids and versions with a simple model."""
     log = Log()
     log.put(AvailabilityZone("keep"), change_id="keep")
     naive, answers = {}, {}
@@ -335,7 +341,7 @@
 
 
 def test_golden_session(log):
-    """Two targets join, share the shards, one leaves and one is lost."""
+    """Two targets join and share the shards; then one leaves and one is lost."""
     steps = [
         JoinTarget("rota", "t1", "a", "i1", "1", Address("127.0.0.1", 1)),
         JoinTarget("rota", "t2", "b", "i2", "1", Address("127.0.0.1", 2)),
@@ -360,11 +366,12 @@
 
 
 def test_zone_joins_all_at_once():
-    """A zone's targets come back in one instant, all of them cold.
+    """Guards against too many moves when a whole zone returns with cold targets.
 
-    Callers see few shards change owner at a time, and no shard twice. Every join is
-    one entry of the log. Placement fills the newcomers a batch at a time, never more
-    than their warmth bears, and once warm up to the mean in whole shards.
+    Every join is one log entry. At most one batch of shards moves at a time, and no
+    shard moves twice. The placement moves shards to the new targets only up to a
+    share of the mean that fits their warmth; once warm, they have the mean, rounded
+    down to whole shards.
     """
     log, batch = Log(), 32
     log.put(AvailabilityZone("a"))
@@ -395,7 +402,7 @@
 
 
 def placement_step(log, warmth_by_target=None):
-    """Plan, move, and let the owners release at once."""
+    """Plan and apply moves, and let the owners release their shards at once."""
     state = log.state
     step = plan(
         PlacementInputs(
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Tests of the data folder: what survives, and what stops the member."""
+"""Tests of the data folder: recovery, damage and failed writes."""
 
 import pathlib
 import subprocess
@@ -74,7 +74,7 @@
 
 
 def planned(disk, action, back, term):
-    """One write that a member could make on top of what ``disk`` holds."""
+    """Return a write that a member could make on top of the content of ``disk``."""
     held = {entry.index: entry.term for entry in disk.entries}
     base = disk.snapshot.index
     last = max(held, default=base)
@@ -93,7 +93,10 @@
     derandomize=True, deadline=None, print_blob=False, database=None, max_examples=60
 )
 def test_recovers_what_a_naive_disk_holds(plan):
-    """Random writes, in small parts, with new starts between them."""
+    """Compares recovered state with a simple model, after random writes and restarts.
+
+    Each write reaches the file in several short system calls.
+    """
     with tempfile.TemporaryDirectory() as name:
         files, disk = BrokenFiles(), Disk(FIRST.membership)
         files.failure = "slow"
@@ -115,10 +118,10 @@
 
 
 def test_torn_tail_is_cut_at_every_length(tmp_path):
-    """The VM stops while a record is written, and the member starts again.
+    """Guards against lost records after a crash in the middle of a write.
 
-    Whatever part of the last record is there, all earlier ones are recovered, the
-    part is cut, and records written afterwards are recovered too.
+    For every length of the torn record, all earlier ones must be recovered, the torn
+    part truncated, and records written afterwards recovered too.
     """
     storage = fresh(tmp_path)
     write(storage, WriteEntries(entries(1, 1)))
@@ -137,11 +140,12 @@
 
 
 def test_damage_inside_the_log_stops_with_file_and_offset(tmp_path):
-    """A synced record has gone bad on the disk; synced records follow it.
+    """Guards against lost entries after damage to a synced record.
 
-    Cut like a torn tail it would take acknowledged entries with it, so the member
-    refuses to start and names the file and the record's offset. The same holds for
-    the header, the first record, and the identity.
+    Synced records follow the damaged one. If it were truncated like a torn tail, those
+    acknowledged entries would be lost, so the member refuses to start and reports the
+    file and the offset of the record. The same applies to the header, the first record
+    and the identity.
     """
     storage = fresh(tmp_path)
     path = log_path(tmp_path)
@@ -177,10 +181,11 @@
     ],
 )
 def test_failed_write_is_never_retried_as_if_clean(tmp_path, failure, kind):
-    """A write or its sync fails once, and the disk seems well again afterwards.
+    """Guards against a retried sync that reports success for lost data.
 
-    The system may have dropped the data and report success for the next sync, so
-    every later call fails the same way. A new start finds what was synced before.
+    A write or its sync fails once, and later calls would succeed. The operating system
+    may have dropped the data, so every later call must fail with the same error. A
+    restart recovers what was synced before.
     """
     files = BrokenFiles()
     storage = fresh(tmp_path, files)
@@ -195,10 +200,10 @@
 
 @pytest.mark.parametrize("failure", ["sync", "full", "short", "rename", "remove"])
 def test_snapshot_that_fails_half_way_leaves_the_old_or_the_new(tmp_path, failure):
-    """The VM fails amid the replacement of the log by a snapshot.
+    """Guards against a partial log after a failed replacement by a snapshot.
 
-    Whatever step fails, the storage refuses to go on, and the next start finds the
-    old log whole or the new one whole.
+    Whichever step fails, the storage refuses further calls, and the next start must
+    recover either the complete old log or the complete new one.
     """
     files = BrokenFiles()
     storage = fresh(tmp_path, files)
@@ -246,9 +251,10 @@
 
 
 def test_lost_identity_is_damage_but_an_unfinished_start_is_new(tmp_path):
-    """The identity file is missing: a crash amid the first start, or a loss.
+    """Guards against the removal of a log with votes or entries.
 
-    Only a log without any promise in it may be thrown away.
+    The identity file is missing, because of a crash during the first start or because
+    it was lost. Only a log without any vote or entry may be removed.
     """
     storage = fresh(tmp_path)
     (tmp_path / "identity").unlink()
@@ -291,10 +297,11 @@
 
 
 def test_fences_of_targets_lost_together_are_all_durable(tmp_path):
-    """Two targets are lost at once, and a control VM is asked for both fences.
+    """Guards against lost fences when several targets are lost at the same time.
 
-    Written by two threads at a time, one file replaced the other or was gone before
-    its turn: a fence told as durable was lost, or no further one could be given.
+    When two threads wrote the fence file concurrently, one temporary file replaced the
+    other or was missing at its rename. A fence reported as durable was lost, or every
+    later one failed.
     """
     fences = FenceFile.open(tmp_path)
     with ThreadPoolExecutor(8) as executor:
