--- a/tests/raft_group.py
+++ b/tests/raft_group.py
@@ -43,7 +43,7 @@
             else:
                 self._replace(write.snapshot)
 
-    def check_equals(self, node):
+    def check_end_matches(self, node):
         """Check that the member's log ends at the same index and term as this one."""
         last = self.entries[-1].index if self.entries else self.snapshot.index
         assert node.last_index == last
@@ -73,7 +73,7 @@
         first = membership(*names)
         self.disks = {name: Disk(first) for name in names}
         self.nodes = {}
-        self.wire = []
+        self.in_flight = []
         self.applied = {}
         self.reads = {}
         self.committed_by_index = {}
@@ -110,8 +110,8 @@
             return
         if output.writes:
             self.disks[name].write(output.writes)
-            self.disks[name].check_equals(self.nodes[name])
-            self.note(name, "sync", output.writes)
+            self.disks[name].check_end_matches(self.nodes[name])
+            self._record(name, "sync", output.writes)
         self._send(name, output.messages)
         self._apply(name, output)
         for ready in output.reads:
@@ -124,30 +124,30 @@
 
     def _send(self, name, messages):
         for message in messages:
-            self.note(name, "send", [message])
-            self.wire.append(message)
+            self._record(name, "send", [message])
+            self.in_flight.append(message)
 
     def _apply(self, name, output):
         if output.restored:
-            self.note(name, "restore", [output.restored])
+            self._record(name, "restore", [output.restored])
             self.applied[name] = output.restored.index
         for entry in output.committed:
             assert entry.index == self.applied[name] + 1
             assert self.committed_by_index.setdefault(entry.index, entry) == entry
             self.applied[name] = entry.index
         if output.committed:
-            self.note(name, "commit", output.committed)
+            self._record(name, "commit", output.committed)
 
     def _check_leader(self, name):
         node = self.nodes[name]
         if node.role is Role.LEADER:
             assert self.leader_by_term.setdefault(node.term, name) == name
 
-    def note(self, name, what, items):
+    def _record(self, name, what, items):
         if self.log is not None:
             self.log.extend(f"  {name} {what} {render(item)}" for item in items)
 
-    def say(self, text):
+    def add_heading(self, text):
         self.log.append(text)
 
     def tick(self, name, seconds=0.0):
@@ -164,9 +164,9 @@
     def settle(self):
         """Deliver messages until none is in flight."""
         for _ in range(10_000):
-            if not self.wire:
+            if not self.in_flight:
                 return
-            self.deliver(self.wire.pop(0))
+            self.deliver(self.in_flight.pop(0))
         raise AssertionError("the members still send messages after 10,000 deliveries")
 
     def run(self, seconds, step=0.01):
@@ -209,9 +209,9 @@
 
     def cut(self, *names):
         """Partition ``names`` from all other members, in both directions."""
-        for one in names:
+        for name in names:
             for other in set(self.disks) - set(names):
-                self.blocked |= {(one, other), (other, one)}
+                self.blocked |= {(name, other), (other, name)}
 
     def heal(self):
         self.blocked.clear()
@@ -232,6 +232,6 @@
         return f"{len(item)}B"
     if not hasattr(item, "__attrs_attrs__"):
         return str(item)
-    fields = [a.name for a in item.__attrs_attrs__ if a.name != "sender"]
-    parts = [f"{name}={render(getattr(item, name))}" for name in fields]
+    field_names = [a.name for a in item.__attrs_attrs__ if a.name != "sender"]
+    parts = [f"{name}={render(getattr(item, name))}" for name in field_names]
     return f"{kind} " + " ".join(parts)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -40,62 +40,62 @@
         self.commands = snapshot.data.split(b",") if snapshot.data else []
 
 
-def consensus(name, storage, first, send, machine, on_fatal):
+def make_consensus(name, storage, first, send, machine, on_fatal):
     clock, rng = _clock.boot_s, random.Random(name)
     return Consensus(
         name, SETTINGS, storage, first, send, machine, clock, rng, on_fatal
     )
 
 
-class Trio:
+class MemberGroup:
     """Up to three running members that exchange encoded messages by direct calls."""
 
     def __init__(self, folder):
         self.folder = folder
         self.first = membership("a", "b", "c")
         self.running = {}
-        self.machines = {}
-        self.files = {}
-        self.fatal = {}
+        self.machine_by_name = {}
+        self.files_by_name = {}
+        self.error_by_name = {}
         self.cut = set()
 
     def start(self, name, first=None):
-        self.files[name] = BrokenFiles()
-        storage = Storage.open(self.folder / name, self.files[name])
-        self.machines[name] = ListMachine()
-        self.running[name] = consensus(
+        self.files_by_name[name] = BrokenFiles()
+        storage = Storage.open(self.folder / name, self.files_by_name[name])
+        self.machine_by_name[name] = ListMachine()
+        self.running[name] = make_consensus(
             name,
             storage,
             first or self.first,
             self.send,
-            self.machines[name],
-            lambda error: self.fatal.update({name: error}),
+            self.machine_by_name[name],
+            lambda error: self.error_by_name.update({name: error}),
         )
         self.running[name].start()
         return self.running[name]
 
     def send(self, messages):
         for message in messages:
-            to = self.running.get(message.receiver)
-            if to and not {message.sender, message.receiver} & self.cut:
+            receiver = self.running.get(message.receiver)
+            if receiver and not {message.sender, message.receiver} & self.cut:
                 kind = type(_raft_wire.to_wire(message))
                 data = _raft_wire.to_wire(message).SerializeToString()
-                to.deliver([_raft_wire.from_wire(kind.FromString(data))])
+                receiver.deliver([_raft_wire.from_wire(kind.FromString(data))])
 
     def stop(self, name):
         self.running.pop(name).stop()
 
-    def leader(self, among=None):
-        def found():
-            for each in list(self.running.values()):
-                status = each.status()
+    def leader(self, candidates=None):
+        def find_leader():
+            for running_member in list(self.running.values()):
+                status = running_member.status()
                 if status.role is Role.LEADER and status.name in (
-                    among or self.running
+                    candidates or self.running
                 ):
-                    return each
+                    return running_member
             return None
 
-        return wait_for(found)
+        return wait_for(find_leader)
 
 
 def wait_for(condition):
@@ -108,19 +108,19 @@
 
 
 @pytest.fixture
-def trio(tmp_path):
-    group = Trio(tmp_path)
+def group(tmp_path):
+    started = MemberGroup(tmp_path)
     for name in "abc":
-        group.start(name)
-    yield group
-    for name in list(group.running):
-        group.stop(name)
+        started.start(name)
+    yield started
+    for name in list(started.running):
+        started.stop(name)
 
 
-def committed(trio, command):
+def propose_until_committed(group, command):
     """Propose a command, with retries, until it is committed; return the leader."""
     for _ in range(100):
-        leader = trio.leader()
+        leader = group.leader()
         try:
             leader.propose(command).result(WAIT_S)
             return leader
@@ -129,95 +129,101 @@
     raise AssertionError("the command was not confirmed after 100 attempts")
 
 
-def test_every_member_applies_what_was_confirmed_and_keeps_it(trio):
-    leader = committed(trio, b"first")
+def test_confirmed_changes_are_applied_on_all_members_and_survive_a_restart(group):
+    leader = propose_until_committed(group, b"first")
     futures = [leader.propose(b"%d" % n) for n in range(100)]
     assert [f.result(WAIT_S) for f in futures] == list(range(2, 102))
     assert leader.read().result(WAIT_S) >= 101
     others = [name for name in "abc" if name != leader.status().name]
-    error = trio.running[others[0]].propose(b"x").exception(WAIT_S)
+    error = group.running[others[0]].propose(b"x").exception(WAIT_S)
     assert error.kind is ErrorKind.NO_QUORUM
     expected = [b"first"] + [b"%d" % n for n in range(100)]
-    wait_for(lambda: all(m.commands == expected for m in trio.machines.values()))
+    wait_for(
+        lambda: all(m.commands == expected for m in group.machine_by_name.values())
+    )
     for name in "abc":
-        trio.stop(name)
+        group.stop(name)
     for name in "abc":
-        trio.start(name)
-    committed(trio, b"after")
-    wait_for(lambda: all(m.commands[:101] == expected for m in trio.machines.values()))
+        group.start(name)
+    propose_until_committed(group, b"after")
+    wait_for(
+        lambda: all(
+            m.commands[:101] == expected for m in group.machine_by_name.values()
+        )
+    )
 
 
-def test_leader_cut_off_answers_at_once_that_it_does_not_know(trio):
+def test_partitioned_leader_reports_its_pending_change_as_unconfirmed(group):
     """Guards against a caller that waits indefinitely at a partitioned leader.
 
     The leader appends a change, gets no replies from a quorum for an election timeout
     and steps down. The caller must get CHANGE_UNCONFIRMED at that time; the others
     elect a leader, and the old one returns without that change.
     """
-    old = committed(trio, b"kept")
+    old = propose_until_committed(group, b"kept")
     name = old.status().name
-    trio.cut = {name}
+    group.cut = {name}
     error = old.propose(b"lost").exception(WAIT_S)
     assert error.kind is ErrorKind.CHANGE_UNCONFIRMED
-    trio.leader(among=set("abc") - {name})
-    trio.cut = set()
-    committed(trio, b"new")
-    wait_for(lambda: trio.machines[name].commands == [b"kept", b"new"])
+    group.leader(candidates=set("abc") - {name})
+    group.cut = set()
+    propose_until_committed(group, b"new")
+    wait_for(lambda: group.machine_by_name[name].commands == [b"kept", b"new"])
 
 
-def test_a_change_decided_in_a_former_term_never_comes_into_the_log(trio):
+def test_change_decided_in_an_earlier_term_is_refused(group):
     # Guards against a change that was decided before another leader's grants and takes
     # effect after them.
-    leader = committed(trio, b"first")
+    leader = propose_until_committed(group, b"first")
     term = leader.status().term
     error = leader.propose(b"late", term - 1).exception(WAIT_S)
     assert error.kind is ErrorKind.NO_QUORUM
     leader.propose(b"now", term).result(WAIT_S)
-    assert trio.machines[leader.status().name].commands == [b"first", b"now"]
+    assert group.machine_by_name[leader.status().name].commands == [b"first", b"now"]
 
 
 @pytest.mark.parametrize("failure", ["sync", "full"], ids=["failed sync", "full disk"])
-def test_failed_disk_stops_the_member_and_the_others_go_on(trio, failure):
+def test_disk_failure_stops_the_member_and_the_others_continue(group, failure):
     """Guards against a wrong answer after a disk failure at the leader.
 
     The write or its sync fails while a change is pending. The entry may be on the disk
     or not, so the caller must get CHANGE_UNCONFIRMED and later callers the error of the
     disk. The member must stop, and the other two elect a leader and commit.
     """
-    leader = committed(trio, b"kept")
+    leader = propose_until_committed(group, b"kept")
     name = leader.status().name
-    trio.files[name].failure = failure
+    group.files_by_name[name].failure = failure
     error = leader.propose(b"unknown").exception(WAIT_S)
     assert error.kind is ErrorKind.CHANGE_UNCONFIRMED
     kind = {"sync": ErrorKind.SYNC_FAILED, "full": ErrorKind.DISK_FULL}[failure]
-    wait_for(lambda: name in trio.fatal)
-    assert trio.fatal[name].kind is kind
+    wait_for(lambda: name in group.error_by_name)
+    assert group.error_by_name[name].kind is kind
     for future in (leader.propose(b"later"), leader.read()):
         assert future.exception(WAIT_S).kind is kind
-    trio.running.pop(name)
-    committed(trio, b"after")
+    group.running.pop(name)
+    propose_until_committed(group, b"after")
 
 
-def test_member_with_a_lost_disk_comes_back_under_a_new_name(trio):
+def test_member_with_a_lost_disk_is_replaced_under_a_new_name(group):
     """Guards against an outage after a lost disk and the loss of a second VM.
 
     The member without its disk is removed; a new one joins empty, catches up by
     snapshot and is promoted; then another old member stops. Changes must still commit.
     """
-    leader = committed(trio, b"0")
+    leader = propose_until_committed(group, b"0")
     lost = next(name for name in "abc" if name != leader.status().name)
-    trio.stop(lost)
+    group.stop(lost)
     for number in range(1, 40):
         leader.propose(b"%d" % number).result(WAIT_S)
     for action, name in (("remove", lost), ("add", "d")):
         leader.change_membership(Step(action, member(name))).result(WAIT_S)
-    trio.start("d", first=Membership(()))
+    group.start("d", first=Membership(()))
     _promote(leader, "d")
     second = next(n for n in "abc" if n not in (lost, leader.status().name))
-    trio.stop(second)
-    committed(trio, b"40")
+    group.stop(second)
+    propose_until_committed(group, b"40")
     expected = [b"%d" % number for number in range(41)]
-    wait_for(lambda: trio.machines["d"].commands == expected)
+    wait_for(lambda: group.machine_by_name["d"].commands == expected)
 
 
 def _promote(leader, name):
@@ -231,16 +237,16 @@
 
 
 def test_folder_of_another_member_is_refused(tmp_path):
-    trio = Trio(tmp_path)
-    trio.start("a")
-    trio.stop("a")
+    group = MemberGroup(tmp_path)
+    group.start("a")
+    group.stop("a")
     (tmp_path / "a").rename(tmp_path / "b")
     with pytest.raises(TamarackhavenError) as caught:
-        trio.start("b")
+        group.start("b")
     assert caught.value.kind is ErrorKind.MEMBER_UNKNOWN
 
 
-def test_burst_beyond_the_limit_is_refused_at_once(tmp_path, monkeypatch):
+def test_changes_above_the_pending_limit_are_refused_at_once(tmp_path, monkeypatch):
     """Guards against changes that wait past their deadline in an unbounded queue.
 
     More changes arrive than the group can commit while it is busy. Those within the
@@ -248,29 +254,29 @@
     aren't in the log, and with a retry delay.
     """
     monkeypatch.setattr(_consensus, "MAX_PENDING_CHANGES", 2)
-    trio = Trio(tmp_path)
-    trio.start("a", first=membership("a"))
-    leader = trio.leader()
+    group = MemberGroup(tmp_path)
+    group.start("a", first=membership("a"))
+    leader = group.leader()
     leader.read().result(WAIT_S)
-    is_busy, is_free = threading.Event(), threading.Event()
+    is_busy, may_continue = threading.Event(), threading.Event()
 
     def apply(_entry):
         is_busy.set()
-        is_free.wait(WAIT_S)
+        may_continue.wait(WAIT_S)
 
-    monkeypatch.setattr(trio.machines["a"], "apply", apply)
+    monkeypatch.setattr(group.machine_by_name["a"], "apply", apply)
     leader.propose(b"first")
     assert is_busy.wait(WAIT_S)
     futures = [leader.propose(b"x") for _ in range(5)]
-    is_free.set()
+    may_continue.set()
     errors = [future.exception(WAIT_S) for future in futures]
-    trio.stop("a")
+    group.stop("a")
     assert errors[:2] == [None, None]
     assert {error.kind for error in errors[2:]} == {ErrorKind.CONTROL_BUSY}
     assert all(error.retry_after_s > 0 for error in errors[2:])
 
 
-def test_nothing_is_answered_before_it_is_synced(tmp_path):
+def test_no_message_is_sent_before_its_sync(tmp_path):
     """Guards against a reply for entries that a follower hasn't synced.
 
     The follower's disk fails while it stores entries of the leader. With a reply before
@@ -280,7 +286,9 @@
     sent, fatal, files = [], [], BrokenFiles()
     storage = Storage.open(tmp_path, files)
     first = membership("a", "b", "c")
-    follower = consensus("b", storage, first, sent.extend, ListMachine(), fatal.append)
+    follower = make_consensus(
+        "b", storage, first, sent.extend, ListMachine(), fatal.append
+    )
     files.failure = "sync"
     entry = Entry(1, 1, EntryKind.CHANGE, b"x")
     follower.deliver([Append("a", "b", 1, 0, 0, 0, 1, (entry,))])
--- a/tests/test_feed_wire.py
+++ b/tests/test_feed_wire.py
@@ -18,7 +18,7 @@
     ]
 
 
-def test_events_are_read_back_and_again():
+def test_packed_events_can_be_read_repeatedly():
     for count in (0, 1, MAX_PART_EVENTS, 3 * MAX_PART_EVENTS + 1):
         events = [*events_of(count), ResourceDeleted(9, "Service", "line\nend")]
         packed = PackedEvents(pack(events))
@@ -27,7 +27,7 @@
     assert list(PackedEvents(b"")) == []
 
 
-def test_a_feed_that_is_cut_off_changes_nothing():
+def test_truncated_feed_changes_nothing():
     data = pack(events_of(3 * MAX_PART_EVENTS))
     for snapshot in (True, False):
         view = View()
@@ -37,7 +37,7 @@
         assert view.owned_by("s", "t0") == []
 
 
-def test_a_first_feed_is_never_whole_in_memory():
+def test_first_feed_is_decoded_in_parts():
     """Guards against a first feed that exceeds a daemon's memory limit of 64 MB.
 
     A daemon that starts at a service with many shards gets a compressed feed. Decoded
--- a/tests/test_fetch_pace.py
+++ b/tests/test_fetch_pace.py
@@ -14,7 +14,7 @@
         (True, True, 99.9, 100.05),  # newer version known, but not fetched yet
     ],
 )
-def test_pause_after_a_fetch(is_behind, has_lease, confirmed_at, due_at):
+def test_interval_until_the_next_fetch(is_behind, has_lease, confirmed_at, due_at):
     pace = FetchPace()
     assert pace.is_due(100.0, is_behind, has_lease, confirmed_at)
     pace.asked(100.0)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -27,7 +27,7 @@
 from tests.raft_group import SETTINGS, Group, membership
 
 
-def session(*names, leader=None):
+def recorded_group(*names, leader=None):
     group = Group(*names)
     if leader:
         group.elect(leader)
@@ -39,7 +39,7 @@
     golden.check(name, "\n".join(group.log) + "\n")
 
 
-def led(*names):
+def group_led_by_first(*names):
     """Return a group whose first member leads and has committed its first entry."""
     group = Group(*names)
     group.elect(names[0])
@@ -47,7 +47,7 @@
     return group
 
 
-def kind_of(call, *args):
+def raised_kind(call, *args):
     with pytest.raises(TamarackhavenError) as caught:
         call(*args)
     return caught.value.kind
@@ -57,34 +57,36 @@
 
 
 def test_golden_election():
-    group = session("a", "b", "c")
-    group.say("a hears no leader for an election timeout")
+    group = recorded_group("a", "b", "c")
+    group.add_heading("a hears no leader for an election timeout")
     group.elect("a")
-    group.say("c is asked for a vote by b, while it hears a")
+    group.add_heading("c is asked for a vote by b, while it hears a")
     group.deliver(PreVote("b", "c", 2, last_index=1, last_term=1))
     group.deliver(Vote("b", "c", 2, last_index=1, last_term=1))
-    group.say("a is cut off; b and c go on without it")
+    group.add_heading("a is cut off; b and c go on without it")
     group.cut("a")
     group.now += 1.0
     group.tick("b")
     group.settle()
-    group.say("a hears no quorum for an election timeout and steps down")
+    group.add_heading("a hears no quorum for an election timeout and steps down")
     for _ in range(5):
         group.tick("a", 0.1)
     group.settle()
     assert group.nodes["a"].role is Role.FOLLOWER
-    group.say(f"a is {group.nodes['a'].role.value}, b {group.nodes['b'].role.value}")
+    group.add_heading(
+        f"a is {group.nodes['a'].role.value}, b {group.nodes['b'].role.value}"
+    )
     check(group, "raft_election")
 
 
 def test_golden_replication_with_a_lagging_follower():
-    group = session("a", "b", "c", leader="a")
-    group.say("c hears nothing while a and b commit six changes")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("c hears nothing while a and b commit six changes")
     group.cut("c")
     for number in range(6):
         group.propose("a", b"change-%d" % number)
     group.settle()
-    group.say("c hears the leader again")
+    group.add_heading("c hears the leader again")
     group.heal()
     group.tick("a", 0.05)
     group.settle()
@@ -92,13 +94,13 @@
 
 
 def test_golden_snapshot_transfer():
-    group = session("a", "b", "c", leader="a")
-    group.say("c hears nothing while a and b commit 6 changes")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("c hears nothing while a and b commit 6 changes")
     group.cut("c")
     for number in range(6):
         group.propose("a", b"change-%d" % number)
     group.settle()
-    group.say("a replaces its log by a snapshot of 3,000 bytes; c is behind it")
+    group.add_heading("a replaces its log by a snapshot of 3,000 bytes; c is behind it")
     group.compact("a")
     group.heal()
     group.tick("a", 0.05)
@@ -107,31 +109,31 @@
 
 
 def test_golden_membership_change():
-    group = session("a", "b", "c", leader="a")
-    group.say("d joins as a learner")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("d joins as a learner")
     group.join("d")
     group.change("a", "add", "d")
     group.settle()
-    group.say("d has caught up and gets a vote")
+    group.add_heading("d has caught up and gets a vote")
     group.change("a", "promote", "d")
     group.settle()
-    group.say("a removes itself; it leads until that is committed")
+    group.add_heading("a removes itself; it leads until that is committed")
     group.change("a", "remove", "a")
     group.settle()
-    group.say(f"a is {group.nodes['a'].role.value}")
+    group.add_heading(f"a is {group.nodes['a'].role.value}")
     check(group, "raft_membership")
 
 
 # Elections under failures.
 
 
-def test_member_cut_off_for_long_returns_without_deposing_the_leader():
+def test_partitioned_member_returns_without_deposing_the_leader():
     """Guards against an election when a partitioned member returns.
 
     It has no leader contact for 20 s, and its pre-vote requests are lost. Its term must
     not rise, so that its messages don't depose the leader after the partition.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.cut("c")
     group.run(20.0, step=0.05)
@@ -142,7 +144,7 @@
     assert {node.term for node in group.nodes.values()} == {term}
 
 
-def test_members_that_start_together_elect_a_leader_sooner():
+def test_members_started_together_use_the_first_election_timeout():
     """Guards against a full election timeout after a simultaneous start.
 
     All members start at the same time, as after a power failure. No leader can exist,
@@ -154,7 +156,7 @@
     assert group.leader()
 
 
-def test_member_that_restarts_deposes_no_leader_by_its_short_first_wait():
+def test_restarted_member_with_a_short_first_timeout_deposes_no_leader():
     """Guards against an election when one member restarts while another leads.
 
     Its short first timeout expires before it gets a heartbeat, and it requests
@@ -175,13 +177,13 @@
     assert group.nodes[leader].term == term
 
 
-def test_leader_that_hears_nobody_steps_down():
+def test_partitioned_leader_steps_down_and_drops_reads():
     """Guards against a stale read from a leader that is partitioned from the quorum.
 
     Its read waits for a heartbeat round of a quorum. Without replies for an election
     timeout it steps down and drops the read; the others elect another leader.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.cut("a")
     group.take("a", group.nodes["a"].read(1, group.now))
     group.run(0.35)
@@ -189,16 +191,16 @@
     assert group.reads == {1: None}
     group.run(2.0)
     assert group.leader() in ("b", "c")
-    assert kind_of(group.propose, "a", b"x") is ErrorKind.NO_QUORUM
+    assert raised_kind(group.propose, "a", b"x") is ErrorKind.NO_QUORUM
 
 
-def test_leader_that_stood_still_goes_on_if_nobody_took_over():
+def test_leader_continues_after_a_stall_without_another_election():
     """Guards against a needless election after a slow sync.
 
     A sync stalls the leader for longer than an election timeout, and no other leader
     was elected. Replies missing because of its own pause must not make it step down.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.tick("a", 0.32)
     group.run(1.0)
@@ -206,13 +208,13 @@
     assert group.nodes["a"].term == term
 
 
-def test_leader_that_is_heard_but_hears_nobody_is_replaced():
+def test_leader_that_receives_no_replies_is_replaced():
     """Guards against a group that commits nothing after a one-way network failure.
 
     The leader's heartbeats arrive, which keeps the others from an election, but their
     replies are lost. The leader steps down without a quorum, and another is elected.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.blocked = {("b", "a"), ("c", "a")}
     group.run(3.0)
     assert group.leader() in ("b", "c")
@@ -221,14 +223,14 @@
     assert group.nodes[group.leader()].commit >= index
 
 
-def test_follower_that_does_not_hear_the_leader_deposes_nobody():
+def test_follower_without_heartbeats_does_not_depose_the_leader():
     """Guards against repeated elections after a one-way network failure.
 
     One follower doesn't get the leader's messages, but its own arrive everywhere. It
     keeps requesting votes; the leader and the other follower refuse, so the leader
     stays.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.blocked = {("a", "c")}
     group.run(5.0)
@@ -236,7 +238,7 @@
     assert group.nodes["a"].term == term
 
 
-def test_entry_of_an_earlier_term_is_not_committed_by_counting():
+def test_entry_of_an_earlier_term_is_not_committed_by_counting_replicas():
     """Guards against the loss of a committed entry, as in figure 8 of the Raft paper.
 
     Leader a of term 2 replicates an entry to b only; e leads in term 3 and replicates
@@ -258,17 +260,17 @@
     for _ in range(100):
         if group.disks["c"].entries == [two]:
             break
-        message = group.wire.pop(0)
+        message = group.in_flight.pop(0)
         last = message.entries[-1:] if isinstance(message, Append) else ()
         if last and last[0].term == 4:
             # The new entry of term 4 is lost; the old one arrives everywhere.
             message = attrs.evolve(message, entries=message.entries[:-1])
         group.deliver(message)
-    for message in [m for m in group.wire if isinstance(m, AppendReply)]:
+    for message in [m for m in group.in_flight if isinstance(m, AppendReply)]:
         group.deliver(message)
     assert group.nodes["a"].role is Role.LEADER
     assert group.nodes["a"].commit == 0
-    group.wire.clear()
+    group.in_flight.clear()
     group.heal()
     group.cut("a", "b")
     group.crash("a")
@@ -279,14 +281,14 @@
     assert group.committed_by_index[1] == three
 
 
-def test_leader_counts_its_own_log_only_once_it_is_synced():
+def test_leader_counts_its_own_entries_only_after_their_sync():
     """Guards against the commit of an entry that the leader hasn't synced.
 
     In a group of one voter and a learner, a change waits for the voter's sync, and the
     learner replies to a heartbeat meanwhile. If the unsynced entry counted, a confirmed
     change could be lost in a crash.
     """
-    group = led("a")
+    group = group_led_by_first("a")
     group.join("d")
     group.change("a", "add", "d")
     group.run(0.1)
@@ -298,12 +300,12 @@
     assert node.commit == index
 
 
-def test_member_that_does_not_answer_gets_few_snapshot_pieces():
+def test_unresponsive_member_gets_few_snapshot_chunks():
     """Guards against a saturated link to a lost member that needs a snapshot.
 
     A full chunk with every heartbeat would saturate it.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.cut("c")
     for number in range(10):
         group.propose("a", b"%d" % number)
@@ -311,8 +313,8 @@
     group.compact("a")
     group.heal()
     group.tick("a", 0.1)
-    while not isinstance(group.wire[-1], InstallSnapshot):
-        group.deliver(group.wire.pop(0))
+    while not isinstance(group.in_flight[-1], InstallSnapshot):
+        group.deliver(group.in_flight.pop(0))
     group.log = []
     group.crash("c")
     group.run(3.0)
@@ -325,13 +327,13 @@
 # Membership.
 
 
-def test_second_member_lost_right_after_a_repair():
+def test_group_commits_after_a_replacement_and_a_second_loss():
     """Guards against an outage when another VM is lost right after a replacement.
 
     The new member may vote only once it has caught up, so that it and the leader form a
     working quorum as soon as the second member is lost.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.crash("c")
     group.change("a", "remove", "c")
     group.settle()
@@ -342,7 +344,7 @@
     group.blocked = {("a", "d")}
     group.change("a", "add", "d")
     group.settle()
-    assert kind_of(group.change, "a", "promote", "d") is ErrorKind.MEMBERSHIP_BUSY
+    assert raised_kind(group.change, "a", "promote", "d") is ErrorKind.MEMBERSHIP_BUSY
     group.heal()
     group.run(0.1)
     assert group.nodes["d"].role is Role.LEARNER
@@ -356,26 +358,26 @@
     assert group.leader() == "a"
 
 
-def test_membership_changes_one_at_a_time_and_only_sensibly():
+def test_invalid_or_concurrent_membership_change_is_refused():
     group = Group("a", "b", "c")
     group.elect("a")
     change = group.change
-    group.wire.clear()
-    assert kind_of(change, "b", "remove", "c") is ErrorKind.NO_QUORUM
+    group.in_flight.clear()
+    assert raised_kind(change, "b", "remove", "c") is ErrorKind.NO_QUORUM
     group.run(0.1)
-    assert kind_of(change, "a", "add", "b") is ErrorKind.ALREADY_EXISTS
-    assert kind_of(change, "a", "promote", "x") is ErrorKind.NOT_FOUND
-    assert kind_of(change, "a", "remove", "x") is ErrorKind.NOT_FOUND
-    assert kind_of(change, "a", "rename", "b") is ErrorKind.INVALID_RESOURCE
+    assert raised_kind(change, "a", "add", "b") is ErrorKind.ALREADY_EXISTS
+    assert raised_kind(change, "a", "promote", "x") is ErrorKind.NOT_FOUND
+    assert raised_kind(change, "a", "remove", "x") is ErrorKind.NOT_FOUND
+    assert raised_kind(change, "a", "rename", "b") is ErrorKind.INVALID_RESOURCE
     change("a", "add", "d")
-    assert kind_of(change, "a", "remove", "b") is ErrorKind.MEMBERSHIP_BUSY
+    assert raised_kind(change, "a", "remove", "b") is ErrorKind.MEMBERSHIP_BUSY
     group.settle()
     change("a", "remove", "b")
     group.settle()
     assert group.nodes["a"].membership.voters == ["a", "c"]
 
 
-def test_new_leader_changes_no_membership_before_its_first_commit():
+def test_new_leader_refuses_membership_changes_before_its_first_commit():
     """Guards against two leaders after overlapping membership changes.
 
     A new leader doesn't know whether a membership change of an earlier term is on a
@@ -386,14 +388,14 @@
     group.now += 1.0
     group.tick("a")
     while group.nodes["a"].role is not Role.LEADER:
-        group.deliver(group.wire.pop(0))
-    assert kind_of(group.change, "a", "remove", "c") is ErrorKind.MEMBERSHIP_BUSY
+        group.deliver(group.in_flight.pop(0))
+    assert raised_kind(group.change, "a", "remove", "c") is ErrorKind.MEMBERSHIP_BUSY
     group.settle()
     group.change("a", "remove", "c")
 
 
 def test_uncommitted_membership_is_rolled_back_with_its_entry():
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.cut("a")
     group.change("a", "remove", "b")
     assert group.nodes["a"].membership.voters == ["a", "c"]
@@ -404,13 +406,13 @@
 
 
 def test_removed_member_does_not_campaign():
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.change("a", "remove", "c")
     group.settle()
     group.cut("c")
     group.run(5.0, step=0.05)
     assert group.nodes["c"].term == group.nodes["a"].term
-    assert not any(isinstance(m, PreVote | Vote) for m in group.wire)
+    assert not any(isinstance(m, PreVote | Vote) for m in group.in_flight)
 
 
 # Reads.
@@ -423,27 +425,27 @@
     its commit index may be too low. The read waits until the first entry of its own
     term, which follows that change, is committed.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.blocked = {("a", "c"), ("b", "a")}
     index = group.propose("a", b"acknowledged")
     group.settle()
     group.blocked.clear()
     group.tick("a", 0.1)
     while group.nodes["a"].commit < index:
-        group.deliver(group.wire.pop(0))
-    group.wire.clear()
+        group.deliver(group.in_flight.pop(0))
+    group.in_flight.clear()
     group.cut("a")
     group.now += 1.0
     group.tick("b")
     while group.nodes["b"].role is not Role.LEADER:
-        group.deliver(group.wire.pop(0))
+        group.deliver(group.in_flight.pop(0))
     group.take("b", group.nodes["b"].read(5, group.now))
     assert group.reads == {}
     group.run(0.1)
     assert group.reads[5] >= index
 
 
-def test_index_taken_by_another_term_answers_unconfirmed():
+def test_proposal_replaced_at_its_index_is_unconfirmed():
     class Future:
         def set_exception(self, error):
             self.kind = error.kind
@@ -469,17 +471,17 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_messages_come_back_from_the_wire(message):
+def test_messages_survive_a_wire_round_trip(message):
     assert _raft_wire.from_wire(_raft_wire.to_wire(message)) == message
 
 
-def test_unknown_message_is_refused():
-    wire = _raft_wire.to_wire(MESSAGES[0])
-    wire.kind = "Shutdown"
-    assert kind_of(_raft_wire.from_wire, wire) is ErrorKind.MALFORMED_REQUEST
+def test_unknown_message_kind_is_refused():
+    in_flight = _raft_wire.to_wire(MESSAGES[0])
+    in_flight.kind = "Shutdown"
+    assert raised_kind(_raft_wire.from_wire, in_flight) is ErrorKind.MALFORMED_REQUEST
 
 
-def test_member_without_membership_waits_to_be_added():
+def test_member_without_membership_starts_no_election():
     group = Group("a")
     group.join("n")
     assert group.nodes["n"].membership == Membership(())
@@ -487,4 +489,4 @@
     group.now += 100.0
     group.tick("n")
     assert group.nodes["n"].role is Role.LEARNER
-    assert group.wire == []
+    assert group.in_flight == []
--- a/tests/test_raft_random.py
+++ b/tests/test_raft_random.py
@@ -22,15 +22,15 @@
         self.group = Group("a", "b", "c", seed=seed)
         self.rng = self.group.rng
         self.joined = 0
-        self.floor_by_token = {}
+        self.min_index_by_token = {}
 
     def run(self, steps):
         for number in range(steps):
             action = self.rng.choice(ACTIONS)
             getattr(self, f"_{action}")(number)
-        self._calm_down()
+        self._heal_and_check()
 
-    def _calm_down(self):
+    def _heal_and_check(self):
         group = self.group
         group.heal()
         for name in set(group.disks) - set(group.nodes):
@@ -43,42 +43,42 @@
         for name in group.nodes[leader].membership.by_name:
             assert group.applied[name] >= index
         self._check_logs_match()
-        for token, floor in self.floor_by_token.items():
+        for token, min_index in self.min_index_by_token.items():
             confirmed = group.reads.get(token)
-            assert confirmed is None or confirmed >= floor
+            assert confirmed is None or confirmed >= min_index
 
     def _check_logs_match(self):
-        kept = {}
+        entry_by_position = {}
         for disk in self.group.disks.values():
             for entry in disk.entries:
-                same = kept.setdefault((entry.index, entry.term), entry)
-                assert same == entry
+                known = entry_by_position.setdefault((entry.index, entry.term), entry)
+                assert known == entry
 
-    def _any_node(self):
+    def _random_member(self):
         return self.rng.choice(sorted(self.group.nodes) or [None])
 
     def _tick(self, _number):
-        if name := self._any_node():
+        if name := self._random_member():
             self.group.tick(name, self.rng.random() * 0.02)
 
     def _pop(self, position):
-        return self.group.wire.pop(position) if self.group.wire else None
+        return self.group.in_flight.pop(position) if self.group.in_flight else None
 
     def _deliver(self, _number):
         if message := self._pop(0):
             self.group.deliver(message)
 
     def _late(self, _number):
-        if self.group.wire:
-            position = self.rng.randrange(len(self.group.wire))
+        if self.group.in_flight:
+            position = self.rng.randrange(len(self.group.in_flight))
             self.group.deliver(self._pop(position))
 
     def _drop(self, _number):
         self._pop(0)
 
     def _duplicate(self, _number):
-        if self.group.wire:
-            self.group.wire.append(self.rng.choice(self.group.wire))
+        if self.group.in_flight:
+            self.group.in_flight.append(self.rng.choice(self.group.in_flight))
 
     def _torn(self, _number):
         """Deliver a message to a member that crashes before its sync."""
@@ -92,19 +92,21 @@
 
     def _read(self, number):
         """Read; the result must include all that any member had committed before."""
-        if name := self._any_node():
-            self.floor_by_token[number] = max(self.group.committed_by_index, default=0)
+        if name := self._random_member():
+            self.min_index_by_token[number] = max(
+                self.group.committed_by_index, default=0
+            )
             output = self.group.nodes[name].read(number, self.group.now)
             self.group.take(name, output)
 
     def _crash(self, _number):
-        if name := self._any_node():
+        if name := self._random_member():
             self.group.crash(name)
 
     def _start(self, _number):
-        down = sorted(set(self.group.disks) - set(self.group.nodes))
-        if down:
-            self.group.start(self.rng.choice(down))
+        stopped = sorted(set(self.group.disks) - set(self.group.nodes))
+        if stopped:
+            self.group.start(self.rng.choice(stopped))
 
     def _cut(self, _number):
         self.group.cut(self.rng.choice(sorted(self.group.disks)))
@@ -117,7 +119,7 @@
         self.group.heal()
 
     def _compact(self, _number):
-        if name := self._any_node():
+        if name := self._random_member():
             self.group.compact(name)
 
     def _member(self, _number):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -94,7 +94,7 @@
     return kind.value
 
 
-def test_of_two_racing_operators_one_wins_and_one_learns_the_version(log):
+def test_concurrent_change_fails_with_the_current_version(log):
     """Guards against a lost update when two operators change the same version.
 
     Both read version 1. The first change is applied; the second must fail with a
@@ -108,7 +108,7 @@
     assert log.state.resource("AvailabilityZone", "a").region == "north"
 
 
-def test_resent_change_gets_its_first_outcome(log):
+def test_resent_change_returns_its_first_outcome(log):
     """Guards against a conflict of a resent change with itself.
 
     An operator doesn't get the outcome and sends the same change again. If it were
@@ -124,7 +124,7 @@
     assert reused.code == code(ErrorKind.CHANGE_ID_REUSED)
 
 
-def test_resources_that_cannot_be_honoured_are_refused(log):
+def test_invalid_resources_are_refused(log):
     zone_a = log.state.resource("AvailabilityZone", "a")
     zone_b = log.state.resource("AvailabilityZone", "b")
     out_b = attrs.evolve(zone_b, state=ZoneState.OUT, version=0)
@@ -141,20 +141,20 @@
     assert log.do(delete).code == code(ErrorKind.RESOURCE_IN_USE)
 
 
-def test_mode_of_a_service_in_use_stays(log):
+def test_mode_of_a_service_in_use_cannot_change(log):
     """Guards against a change of mode while daemons still have the old map.
 
     Daemons would then disagree on whether a key has one owner or any.
     """
     shared = OwnershipPolicy("any", PolicyMode.SHARED)
     log.put(shared)
-    wanted = OwnershipPolicy("alone", PolicyMode.SHARED)
+    requested = OwnershipPolicy("alone", PolicyMode.SHARED)
     invalid = code(ErrorKind.INVALID_RESOURCE)
-    assert log.put(wanted, expected=3).code == invalid
+    assert log.put(requested, expected=3).code == invalid
     assert log.put(Service("rota", "any", shard_count=4), expected=4).code == invalid
 
 
-def test_lost_targets_are_forgotten_at_last(log, monkeypatch):
+def test_oldest_lost_targets_are_removed(log, monkeypatch):
     monkeypatch.setattr(_state, "MAX_LOST_TARGETS", 2)
     for number in range(4):
         epoch = log.join(f"t{number}").version
@@ -164,7 +164,7 @@
     assert log.state.member_by_epoch(epoch).target == "t3"
 
 
-def test_policy_that_targets_cannot_hold_is_refused(log):
+def test_change_that_leaves_too_few_targets_is_refused(log):
     log.join("t1")
     policy = OwnershipPolicy("alone", min_targets=2)
     assert log.put(policy, expected=3).code == code(ErrorKind.POLICY_NOT_HELD)
@@ -174,7 +174,7 @@
     assert log.put(out, expected=2).code == code(ErrorKind.POLICY_NOT_HELD)
 
 
-def test_owned_shard_changes_hands_only_by_release(log):
+def test_owned_shard_changes_owner_only_by_release(log):
     """Guards against two targets that serve one key during a move.
 
     If a moved shard were granted at once, the old owner would serve it until it is
@@ -192,7 +192,7 @@
     assert log.grant(0).owner == "t2"
 
 
-def test_release_after_the_move_was_taken_back_renews_the_grant(log):
+def test_release_after_a_cancelled_move_renews_the_grant(log):
     log.join("t1")
     log.join("t2")
     log.move(0, "t1")
@@ -204,7 +204,7 @@
     assert log.grant(0).grant > old.grant
 
 
-def test_retired_epoch_frees_shards_and_an_old_one_changes_nothing(log):
+def test_retirement_frees_shards_and_a_stale_one_is_refused(log):
     """Guards against a late retirement that removes the shards of a new epoch.
 
     A paused daemon is retired, resumes and joins again. A lagging leader proposes a
@@ -222,7 +222,7 @@
     assert log.grant(0).owner == "t1"
 
 
-def test_second_claimant_to_a_name_is_refused_until_the_first_is_retired(log):
+def test_second_process_with_a_name_is_refused_until_the_first_is_retired(log):
     """Guards against two processes that serve under one target name.
 
     The leader gets no reports from a daemon, and another daemon joins under its name.
@@ -242,16 +242,16 @@
     assert log.grant(0).grant > before.grant
 
 
-def test_same_process_keeps_its_grants_when_it_joins_again(log):
+def test_same_process_keeps_its_grants_when_it_rejoins(log):
     log.join("t1")
     log.move(0, "t1")
     before = log.grant(0)
-    again = log.join("t1")
+    resent = log.join("t1")
     assert log.grant(0).grant == before.grant
-    assert log.grant(0).epoch == again.version
+    assert log.grant(0).epoch == resent.version
 
 
-def test_no_shard_goes_to_a_zone_taken_out_after_the_plan(log):
+def test_no_shard_is_granted_in_a_zone_taken_out_after_the_plan(log):
     """Guards against new work in a zone that is out.
 
     An operator takes the zone out after the leader has planned a move, and before the
@@ -263,14 +263,14 @@
     assert log.grant(0).owner == ""
 
 
-def test_leaving_target_gets_no_shard(log):
+def test_leaving_target_is_granted_no_shard(log):
     epoch = log.join("t1").version
     log.do(LeaveTarget("rota", "t1", epoch))
     log.move(0, "t1")
     assert log.grant(0).owner == ""
 
 
-def test_pinned_key_has_a_shard_of_its_own_until_it_is_home_again(log):
+def test_pinned_key_keeps_its_own_shard_until_both_have_one_owner(log):
     log.join("t1")
     log.join("t2")
     key_hash = _keys.hash_key("rota", "sunday")
@@ -280,15 +280,15 @@
     assert (log.grant(4).owner, log.grant(4).key_hash) == ("t1", key_hash)
     log.move(4, "t2")
     log.release("t1", [log.grant(4)])
-    away = log.do(UnpinKey("rota", key_hash))
-    assert away.code == code(ErrorKind.STALE_GRANT)
+    unpinned = log.do(UnpinKey("rota", key_hash))
+    assert unpinned.code == code(ErrorKind.STALE_GRANT)
     log.move(4, "t1")
     log.release("t2", [log.grant(4)])
     assert log.do(UnpinKey("rota", key_hash)).code == ""
     assert 4 not in log.state.grants("rota")
 
 
-def test_snapshot_restores_everything(log):
+def test_snapshot_restores_the_complete_state(log):
     log.join("t1")
     log.move(0, "t1")
     data = _codec.dumps(log.state.snapshot(), StateSnapshot)
@@ -298,11 +298,11 @@
         member = state.member("rota", "t1")
         assert state.member_by_epoch(member.epoch) == member
         assert state.member_by_epoch(member.epoch + 1) is None
-    again = log.put(AvailabilityZone("a"), change_id="change-0")
+    resent = log.put(AvailabilityZone("a"), change_id="change-0")
     first, _ = restored.apply(
         99, Command(PutResource("change-0", AvailabilityZone("a")))
     )
-    assert first == again
+    assert first == resent
 
 
 zone_changes = st.tuples(
@@ -315,32 +315,32 @@
 
 @settings(derandomize=True, deadline=None, database=None, max_examples=100)
 @given(st.lists(zone_changes, max_size=25))
-def test_resources_agree_with_a_naive_store(changes):
+def test_resources_match_a_simple_model(changes):
     """Compares random colliding change ids and versions with a simple model."""
     log = Log()
     log.put(AvailabilityZone("keep"), change_id="keep")
-    naive, answers = {}, {}
+    model, outcome_by_change_id = {}, {}
     for change_id, name, expected, region in changes:
-        wanted = (name, expected, region)
+        requested = (name, expected, region)
         outcome = log.put(AvailabilityZone(name, region), expected, str(change_id))
-        if change_id in answers:
-            known, first = answers[change_id]
-            if known == wanted:
+        if change_id in outcome_by_change_id:
+            known, first = outcome_by_change_id[change_id]
+            if known == requested:
                 assert outcome == first
             else:
                 assert outcome.code == code(ErrorKind.CHANGE_ID_REUSED)
             continue
-        present = naive.get(name, (0, None))[0]
-        assert (outcome.code == "") == (expected == present)
+        current_version = model.get(name, (0, None))[0]
+        assert (outcome.code == "") == (expected == current_version)
         if outcome.code == "":
-            naive[name] = (log.index, region)
-        answers[change_id] = (wanted, outcome)
-    for name, (version, region) in naive.items():
+            model[name] = (log.index, region)
+        outcome_by_change_id[change_id] = (requested, outcome)
+    for name, (version, region) in model.items():
         zone = log.state.resource("AvailabilityZone", name)
         assert (zone.version, zone.region) == (version, region)
 
 
-def test_golden_session(log):
+def test_golden_transcript(log):
     """Two targets join and share the shards; then one leaves and one is lost."""
     steps = [
         JoinTarget("rota", "t1", "a", "i1", "1", Address("127.0.0.1", 1)),
@@ -365,7 +365,7 @@
     golden.check("state_session", "\n".join(lines) + "\n")
 
 
-def test_zone_joins_all_at_once():
+def test_returning_zone_moves_few_shards_at_a_time():
     """Guards against too many moves when a whole zone returns with cold targets.
 
     Every join is one log entry. At most one batch of shards moves at a time, and no
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -36,7 +36,7 @@
     )
 
 
-def fresh(folder, files=None):
+def create_storage(folder, files=None):
     storage = Storage.open(folder, files)
     storage.create(IDENTITY, FIRST)
     return storage
@@ -46,14 +46,14 @@
     storage.write(writes)
 
 
-def reopened(folder):
+def recover(folder):
     storage = Storage.open(folder)
     recovered = storage.recovered
     storage.close()
     return recovered
 
 
-def refusal(call, *args):
+def raised_error(call, *args):
     with pytest.raises(TamarackhavenError) as caught:
         call(*args)
     return caught.value
@@ -63,7 +63,7 @@
     return max(folder.glob("log-" + "[0-9]" * 8))
 
 
-PLANS = st.lists(
+WRITE_PLANS = st.lists(
     st.tuples(
         st.sampled_from(["append", "vote", "snapshot", "reopen"]),
         st.integers(0, 6),
@@ -73,26 +73,26 @@
 )
 
 
-def planned(disk, action, back, term):
+def make_write(disk, action, overlap, term):
     """Return a write that a member could make on top of the content of ``disk``."""
-    held = {entry.index: entry.term for entry in disk.entries}
+    term_by_index = {entry.index: entry.term for entry in disk.entries}
     base = disk.snapshot.index
-    last = max(held, default=base)
+    last = max(term_by_index, default=base)
     if action == "vote":
-        return WriteHardState(HardState(term, "b" * back))
+        return WriteHardState(HardState(term, "b" * overlap))
     if action == "append":
-        first = max(last + 1 - back, base + 1)
-        return WriteEntries(entries(first, first + back, term))
-    index = max(base + 1, last + 2 - back)
-    same_term = held.get(index, term) if back % 2 else term
-    return WriteSnapshot(Snapshot(index, same_term, membership("a"), b"s" * back))
+        first = max(last + 1 - overlap, base + 1)
+        return WriteEntries(entries(first, first + overlap, term))
+    index = max(base + 1, last + 2 - overlap)
+    same_term = term_by_index.get(index, term) if overlap % 2 else term
+    return WriteSnapshot(Snapshot(index, same_term, membership("a"), b"s" * overlap))
 
 
-@given(PLANS)
+@given(WRITE_PLANS)
 @settings(
     derandomize=True, deadline=None, print_blob=False, database=None, max_examples=60
 )
-def test_recovers_what_a_naive_disk_holds(plan):
+def test_recovered_state_equals_a_simple_model(plan):
     """Compares recovered state with a simple model, after random writes and restarts.
 
     Each write reaches the file in several short system calls.
@@ -100,13 +100,13 @@
     with tempfile.TemporaryDirectory() as name:
         files, disk = BrokenFiles(), Disk(FIRST.membership)
         files.failure = "slow"
-        storage = fresh(pathlib.Path(name), files)
-        for action, back, term in [*plan, ("reopen", 0, 1)]:
+        storage = create_storage(pathlib.Path(name), files)
+        for action, overlap, term in [*plan, ("reopen", 0, 1)]:
             if action == "reopen":
                 storage.close()
                 storage = Storage.open(name, files)
             else:
-                writes = [planned(disk, action, back, term)]
+                writes = [make_write(disk, action, overlap, term)]
                 storage.write(writes)
                 disk.write(writes)
             recovered = storage.recovered
@@ -117,13 +117,13 @@
         storage.close()
 
 
-def test_torn_tail_is_cut_at_every_length(tmp_path):
+def test_torn_record_of_any_length_is_truncated(tmp_path):
     """Guards against lost records after a crash in the middle of a write.
 
     For every length of the torn record, all earlier ones must be recovered, the torn
     part truncated, and records written afterwards recovered too.
     """
-    storage = fresh(tmp_path)
+    storage = create_storage(tmp_path)
     write(storage, WriteEntries(entries(1, 1)))
     path = log_path(tmp_path)
     whole = path.stat().st_size
@@ -136,10 +136,10 @@
         assert storage.recovered.entries == entries(1, 1)
         write(storage, WriteEntries(entries(2, 2, term=7)))
         storage.close()
-        assert reopened(tmp_path).entries == entries(1, 1) + entries(2, 2, term=7)
+        assert recover(tmp_path).entries == entries(1, 1) + entries(2, 2, term=7)
 
 
-def test_damage_inside_the_log_stops_with_file_and_offset(tmp_path):
+def test_damaged_record_is_reported_with_file_and_offset(tmp_path):
     """Guards against lost entries after damage to a synced record.
 
     Synced records follow the damaged one. If it were truncated like a torn tail, those
@@ -147,7 +147,7 @@
     file and the offset of the record. The same applies to the header, the first record
     and the identity.
     """
-    storage = fresh(tmp_path)
+    storage = create_storage(tmp_path)
     path = log_path(tmp_path)
     offset = path.stat().st_size
     write(storage, WriteEntries(entries(1, 1)))
@@ -155,21 +155,21 @@
     storage.close()
     data = path.read_bytes()
     identity = tmp_path / "identity"
-    places = {(path, 1): 0, (path, 20): 8, (path, offset): offset}
+    offset_by_position = {(path, 1): 0, (path, 20): 8, (path, offset): offset}
     for at in range(offset, offset + 12):
-        places[path, at] = offset
-    places[identity, identity.stat().st_size - 1] = 8
-    for (where, at), named in places.items():
-        good = where.read_bytes()
-        bad = bytearray(good)
-        bad[at] ^= 0xFF
-        where.write_bytes(bad)
-        error = refusal(Storage.open, tmp_path)
+        offset_by_position[path, at] = offset
+    offset_by_position[identity, identity.stat().st_size - 1] = 8
+    for (damaged_path, at), expected_offset in offset_by_position.items():
+        original = damaged_path.read_bytes()
+        damaged_data = bytearray(original)
+        damaged_data[at] ^= 0xFF
+        damaged_path.write_bytes(damaged_data)
+        error = raised_error(Storage.open, tmp_path)
         assert error.kind is ErrorKind.LOG_DAMAGED
-        assert error.detail == f"{where} at offset {named}"
-        where.write_bytes(good)
+        assert error.detail == f"{damaged_path} at offset {expected_offset}"
+        damaged_path.write_bytes(original)
     assert path.read_bytes() == data
-    assert reopened(tmp_path).entries == entries(1, 2)
+    assert recover(tmp_path).entries == entries(1, 2)
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,7 @@
         ("short", ErrorKind.DISK_FULL),
     ],
 )
-def test_failed_write_is_never_retried_as_if_clean(tmp_path, failure, kind):
+def test_calls_after_a_failed_write_fail_with_the_same_error(tmp_path, failure, kind):
     """Guards against a retried sync that reports success for lost data.
 
     A write or its sync fails once, and later calls would succeed. The operating system
@@ -188,38 +188,38 @@
     restart recovers what was synced before.
     """
     files = BrokenFiles()
-    storage = fresh(tmp_path, files)
+    storage = create_storage(tmp_path, files)
     write(storage, WriteEntries(entries(1, 1)))
     files.failure = failure
-    assert refusal(write, storage, WriteEntries(entries(2, 2))).kind is kind
+    assert raised_error(write, storage, WriteEntries(entries(2, 2))).kind is kind
     files.failure = ""
-    assert refusal(write, storage, WriteEntries(entries(3, 3))).kind is kind
+    assert raised_error(write, storage, WriteEntries(entries(3, 3))).kind is kind
     storage.close()
-    assert reopened(tmp_path).entries[:1] == entries(1, 1)
+    assert recover(tmp_path).entries[:1] == entries(1, 1)
 
 
 @pytest.mark.parametrize("failure", ["sync", "full", "short", "rename", "remove"])
-def test_snapshot_that_fails_half_way_leaves_the_old_or_the_new(tmp_path, failure):
+def test_failed_snapshot_leaves_the_old_or_the_new_log(tmp_path, failure):
     """Guards against a partial log after a failed replacement by a snapshot.
 
     Whichever step fails, the storage refuses further calls, and the next start must
     recover either the complete old log or the complete new one.
     """
     files = BrokenFiles()
-    storage = fresh(tmp_path, files)
+    storage = create_storage(tmp_path, files)
     write(storage, WriteEntries(entries(1, 5)))
     before = storage.recovered
     files.failure = failure
     snapshot = Snapshot(3, 1, membership("a"), b"state" * 100)
-    refusal(write, storage, WriteSnapshot(snapshot))
+    raised_error(write, storage, WriteSnapshot(snapshot))
     after = storage.recovered
     storage.close()
-    assert reopened(tmp_path) == (after if failure == "remove" else before)
+    assert recover(tmp_path) == (after if failure == "remove" else before)
 
 
-def test_replacement_is_synced_before_it_gets_the_name(tmp_path):
+def test_new_file_is_synced_before_its_rename(tmp_path):
     files = BrokenFiles()
-    storage = fresh(tmp_path, files)
+    storage = create_storage(tmp_path, files)
     files.done.clear()
     write(storage, WriteSnapshot(Snapshot(1, 1, membership("a"), b"x")))
     assert files.done == ["write", "sync", "rename", "sync"]
@@ -228,8 +228,8 @@
     assert files.done == ["write", "sync"]
 
 
-def test_second_process_is_refused(tmp_path):
-    storage = fresh(tmp_path)
+def test_folder_locked_by_another_process_is_refused(tmp_path):
+    storage = create_storage(tmp_path)
     code = (
         "import sys; from tamarackhaven._storage import Storage; "
         "from tamarackhaven.errors import TamarackhavenError\n"
@@ -244,19 +244,19 @@
 
 
 def test_unknown_format_is_refused(tmp_path):
-    fresh(tmp_path).close()
+    create_storage(tmp_path).close()
     path = log_path(tmp_path)
     path.write_bytes(path.read_bytes()[:6] + b"\x00\x63" + path.read_bytes()[8:])
-    assert refusal(Storage.open, tmp_path).kind is ErrorKind.FORMAT_UNKNOWN
+    assert raised_error(Storage.open, tmp_path).kind is ErrorKind.FORMAT_UNKNOWN
 
 
-def test_lost_identity_is_damage_but_an_unfinished_start_is_new(tmp_path):
+def test_missing_identity_is_damage_unless_the_first_start_was_interrupted(tmp_path):
     """Guards against the removal of a log with votes or entries.
 
     The identity file is missing, because of a crash during the first start or because
     it was lost. Only a log without any vote or entry may be removed.
     """
-    storage = fresh(tmp_path)
+    storage = create_storage(tmp_path)
     (tmp_path / "identity").unlink()
     storage.close()
     storage = Storage.open(tmp_path)
@@ -265,21 +265,21 @@
     write(storage, WriteHardState(HardState(1, "b")))
     storage.close()
     (tmp_path / "identity").unlink()
-    assert refusal(Storage.open, tmp_path).kind is ErrorKind.LOG_DAMAGED
+    assert raised_error(Storage.open, tmp_path).kind is ErrorKind.LOG_DAMAGED
     log_path(tmp_path).unlink()
     assert Storage.open(tmp_path).is_new
 
 
-def test_record_checks_its_length_too():
+def test_checksum_covers_the_length_of_a_record():
     body = b"\0" * 8
     framed = _record.record(body)
     shorter = framed[:4] + b"\0\0\0\7" + framed[8:]
     assert _record.scan(_record.HEADER + shorter, "f").bodies == ()
 
 
-def test_fences_rise_only_and_are_durable_before_the_return(tmp_path):
+def test_fences_only_increase_and_are_durable_on_return(tmp_path):
     files = BrokenFiles()
-    error = refusal(FenceFile.open, tmp_path, files, True)
+    error = raised_error(FenceFile.open, tmp_path, files, True)
     assert error.kind is ErrorKind.LOG_DAMAGED
     fences = FenceFile.open(tmp_path, files)
     files.done.clear()
@@ -287,16 +287,16 @@
     assert files.done == ["write", "sync", "rename", "sync"]
     fences.fence("booking", "t1", 5)
     fences.fence("booking", "t2", 3)
-    again = FenceFile.open(tmp_path, must_exist=True).epochs_by_target
-    assert again == {("booking", "t1"): 7, ("booking", "t2"): 3}
+    reloaded = FenceFile.open(tmp_path, must_exist=True).epochs_by_target
+    assert reloaded == {("booking", "t1"): 7, ("booking", "t2"): 3}
     files.failure = "sync"
-    error = refusal(fences.fence, "booking", "t1", 9)
+    error = raised_error(fences.fence, "booking", "t1", 9)
     assert error.kind is ErrorKind.SYNC_FAILED
-    assert refusal(fences.fence, "rota", "t1", 1).kind is ErrorKind.SYNC_FAILED
-    assert fences.epochs_by_target == again
+    assert raised_error(fences.fence, "rota", "t1", 1).kind is ErrorKind.SYNC_FAILED
+    assert fences.epochs_by_target == reloaded
 
 
-def test_fences_of_targets_lost_together_are_all_durable(tmp_path):
+def test_concurrent_fences_are_all_durable(tmp_path):
     """Guards against lost fences when several targets are lost at the same time.
 
     When two threads wrote the fence file concurrently, one temporary file replaced the
@@ -310,5 +310,5 @@
         ]
         for future in done:
             future.result()
-    again = FenceFile.open(tmp_path, must_exist=True).epochs_by_target
-    assert again == {("booking", f"t{n}"): n + 1 for n in range(64)}
+    reloaded = FenceFile.open(tmp_path, must_exist=True).epochs_by_target
+    assert reloaded == {("booking", f"t{n}"): n + 1 for n in range(64)}
