--- a/tamarackhaven/_machine.py
+++ b/tamarackhaven/_machine.py
@@ -87,8 +87,9 @@
     def feed(self, from_version):
         """Return the ``Feed`` for a watcher that has applied ``from_version``.
 
-        It holds the whole state if the watcher is at version 0, where it doesn't know
-        the members yet, or if the events since are not kept or too many.
+        It holds the complete state if the watcher is at version 0, where it doesn't
+        know the members yet, or if the events since then aren't retained or are too
+        many for a delta.
         """
         with self.lock:
             version = self.history.version
--- a/tamarackhaven/_state.py
+++ b/tamarackhaven/_state.py
@@ -220,7 +220,7 @@
                 self._delete_member(member)
 
     def put_member(self, member, index):
-        """Store a target; above ``MAX_LOST_TARGETS`` the oldest lost one is removed."""
+        """Store a target; above ``MAX_LOST_TARGETS``, remove the longest lost one."""
         member = attrs.evolve(member, version=index)
         self._store_member(member)
         self._events.append(TargetChanged(index, member))
--- a/tests/broken_files.py
+++ b/tests/broken_files.py
@@ -7,7 +7,7 @@
 
 
 class BrokenFiles(_files.Files):
-    """Real file operations that fail as ``failure`` says; ``done`` records the calls.
+    """Real file operations that fail on request; ``done`` lists the calls in order.
 
     ``failure`` is empty, "full", "short", "slow", "sync", "rename" or "remove". "slow"
     writes at most 7 bytes per call; "short" writes half of the data, then fails as
