--- a/tamarackhaven/_codec.py
+++ b/tamarackhaven/_codec.py
@@ -9,13 +9,13 @@
 
 from tamarackhaven import _changes, _events, _model
 
-_TAG = "type"
+_TYPE_KEY = "type"
 
 
 def _make_converter():
     converter = make_converter(forbid_extra_keys=True)
     for union in (_model.Resource, _changes.Change, _events.Event):
-        configure_tagged_union(union, converter, tag_name=_TAG)
+        configure_tagged_union(union, converter, tag_name=_TYPE_KEY)
     return converter
 
 
@@ -45,7 +45,7 @@
     """Return an ``attrs`` record as dicts and lists, tagged with its class name."""
     plain = _CONVERTER.unstructure(value)
     if attrs.has(type(value)):
-        plain = {_TAG: type(value).__name__} | plain
+        plain = {_TYPE_KEY: type(value).__name__} | plain
     return plain
 
 
--- a/tamarackhaven/_consensus.py
+++ b/tamarackhaven/_consensus.py
@@ -415,7 +415,7 @@
         data = self._machine.snapshot()
         self._snapshot_bytes = len(data)
         snapshot = self._raft.snapshot_at(self._applied, data)
-        self._process_outputs([self._raft.compacted(snapshot)])
+        self._process_outputs([self._raft.compact(snapshot)])
 
 
 def _stopped_error():
--- a/tamarackhaven/_history.py
+++ b/tamarackhaven/_history.py
@@ -68,7 +68,7 @@
             or self._event_count > self._max_events
         )
 
-    def restart(self, version):
+    def reset(self, version):
         """Drop all events, as a snapshot at ``version`` has replaced the state."""
         self._events_by_version.clear()
         self._event_count = 0
--- a/tamarackhaven/_machine.py
+++ b/tamarackhaven/_machine.py
@@ -81,7 +81,7 @@
                     _codec.loads(snapshot.data, StateSnapshot)
                 )
             self.state.version = snapshot.index
-            self.history.restart(snapshot.index)
+            self.history.reset(snapshot.index)
         self._notify_listeners(snapshot.index)
 
     def feed(self, from_version):
--- a/tamarackhaven/_raft.py
+++ b/tamarackhaven/_raft.py
@@ -196,7 +196,7 @@
             self._leadership.persisted(now)
         return self._take_output()
 
-    def compacted(self, snapshot):
+    def compact(self, snapshot):
         """Replace the log up to ``snapshot``, which holds the applied state."""
         core = self._core
         if snapshot.index > core.log.snapshot.index:
--- a/tamarackhaven/_state.py
+++ b/tamarackhaven/_state.py
@@ -64,7 +64,7 @@
         self._grants_by_service = {}
         self._outcomes_by_change_id = collections.OrderedDict()
         self._events = []
-        self._decided_at = 0.0
+        self._decided_at_unix_s = 0.0
 
     @property
     def services(self):
@@ -115,7 +115,7 @@
             Events for watchers.
         """
         self._events = []
-        self._decided_at = command.at_unix_s
+        self._decided_at_unix_s = command.at_unix_s
         self.version = index
         change = command.change
         first = self._stored_outcome(change)
@@ -200,7 +200,13 @@
         """Record a decision, which ``explain`` shows."""
         self.decisions.add(
             Decision(
-                f"v{index}", index, self._decided_at, subject, cause, result, [*shards]
+                f"v{index}",
+                index,
+                self._decided_at_unix_s,
+                subject,
+                cause,
+                result,
+                [*shards],
             )
         )
 
--- a/tests/raft_group.py
+++ b/tests/raft_group.py
@@ -205,7 +205,7 @@
         if self.applied[name] > node.snapshot_index:
             data = b"state" * 600
             snapshot = node.snapshot_at(self.applied[name], data)
-            self.take(name, node.compacted(snapshot))
+            self.take(name, node.compact(snapshot))
 
     def cut(self, *names):
         """Partition ``names`` from all other members, in both directions."""
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -319,12 +319,12 @@
     """Compares random colliding change ids and versions with a simple model."""
     log = Log()
     log.put(AvailabilityZone("keep"), change_id="keep")
-    model, outcome_by_change_id = {}, {}
+    model, result_by_change_id = {}, {}
     for change_id, name, expected, region in changes:
         requested = (name, expected, region)
         outcome = log.put(AvailabilityZone(name, region), expected, str(change_id))
-        if change_id in outcome_by_change_id:
-            known, first = outcome_by_change_id[change_id]
+        if change_id in result_by_change_id:
+            known, first = result_by_change_id[change_id]
             if known == requested:
                 assert outcome == first
             else:
@@ -334,7 +334,7 @@
         assert (outcome.code == "") == (expected == current_version)
         if outcome.code == "":
             model[name] = (log.index, region)
-        outcome_by_change_id[change_id] = (requested, outcome)
+        result_by_change_id[change_id] = (requested, outcome)
     for name, (version, region) in model.items():
         zone = log.state.resource("AvailabilityZone", name)
         assert (zone.version, zone.region) == (version, region)
@@ -381,22 +381,22 @@
     for n in range(270):
         log.join(f"a{n}")
     assert len(placement_step(log).moves) == 1024
-    newcomers = [f"b{n}" for n in range(30)]
+    new_targets = [f"b{n}" for n in range(30)]
     before = log.index
-    epochs = [log.join(name, "b").member.epoch for name in newcomers]
+    epochs = [log.join(name, "b").member.epoch for name in new_targets]
     assert epochs == list(range(before + 1, before + 31))
 
     moved = collections.Counter()
     for warmth in (0.3, 1.0):
-        warmth_by_target = dict.fromkeys(newcomers, warmth)
+        warmth_by_target = dict.fromkeys(new_targets, warmth)
         while moves := placement_step(log, warmth_by_target).moves:
             assert len(moves) <= batch
             moved.update(move.shard for move in moves)
             owned = owned_by_target(log)
             share = math.ceil(1024 / 300 * warmth)
-            assert max(owned[name] for name in newcomers) <= share
+            assert max(owned[name] for name in new_targets) <= share
     assert set(moved.values()) == {1}
-    assert {owned[name] for name in newcomers} == {math.floor(1024 / 300)}
+    assert {owned[name] for name in new_targets} == {math.floor(1024 / 300)}
     assert max(owned.values()) == math.ceil(1024 / 300)
     assert moved.total() == 30 * math.floor(1024 / 300)
 
