--- a/tamarackhaven/_resources.py
+++ b/tamarackhaven/_resources.py
@@ -36,7 +36,7 @@
 
 def _check_range(name, value, minimum, maximum):
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _invalid(f"{name} must be an integer.")
+        raise _invalid(f"{name} must be a whole number.")
     if not minimum <= value <= maximum:
         raise _invalid(f"{name} is {value}, but must be from {minimum} to {maximum}.")
 
@@ -51,8 +51,8 @@
     """
     if not isinstance(name, str) or not NAME_PATTERN.fullmatch(name):
         raise _invalid(
-            f"The name {name!r} must be 1 to 63 characters of a-z, 0-9 and '-', and "
-            "must not start or end with '-'."
+            f"The name {name!r} must be 1 to 63 of a-z, 0-9 and '-', with no '-' "
+            "at either end."
         )
 
 
@@ -125,7 +125,7 @@
     serve keys that another target owns.
     """
     if old_mode is not new_mode:
-        raise _invalid("The ownership mode of an existing service can't change.")
+        raise _invalid("The mode can't change for a service that exists.")
 
 
 def check_last_zone(resource, state):
@@ -142,7 +142,7 @@
     if not any(zone.state is ZoneState.IN for zone in others):
         raise TamarackhavenError(
             ErrorKind.LAST_ZONE,
-            f"No zone except {resource.name!r} is in; pass --allow-last-zone-out.",
+            f"No zone but {resource.name!r} is in; say --allow-last-zone-out to do it.",
         )
 
 
@@ -206,6 +206,6 @@
     if len(held) < policy.min_targets:
         raise TamarackhavenError(
             ErrorKind.POLICY_NOT_HELD,
-            f"Policy {policy.name!r} requires {policy.min_targets} targets for "
-            f"{service.name!r}, only {len(held)} would be left.",
+            f"Policy {policy.name!r} wants {policy.min_targets} targets for "
+            f"{service.name!r}, {len(held)} would be left.",
         )
--- a/tamarackhaven/_rules.py
+++ b/tamarackhaven/_rules.py
@@ -242,7 +242,7 @@
         raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, change.service)
     grants = state.grants(change.service)
     if any(grant.key_hash == change.key_hash for grant in grants.values()):
-        raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, "The key is already pinned.")
+        raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, "The key is pinned.")
     base = grants[_keys.shard_of(change.key_hash, service.shard_count)]
     shard = service.shard_count
     while shard in grants:
@@ -270,10 +270,7 @@
     # With different owners, or during a move, unpinning would change the key's owner
     # without a release.
     if pinned[0].owner != base.owner or pinned[0].moving_to or base.moving_to:
-        raise TamarackhavenError(
-            ErrorKind.STALE_GRANT,
-            "The pinned shard and its base shard must have one owner and not move.",
-        )
+        raise TamarackhavenError(ErrorKind.STALE_GRANT, "Its shard is elsewhere.")
     state.remove_shard(change.service, pinned[0].shard, index)
     shards = [pinned[0].shard]
     state.decide(index, change.service, change.cause, "key unpinned", shards)
--- a/tamarackhaven/_state.py
+++ b/tamarackhaven/_state.py
@@ -181,7 +181,7 @@
         if first is None:
             return None
         if first.digest != _digest(change):
-            detail = f"The change id {change_id!r} was already used for another change."
+            detail = f"The change id {change_id!r} stands for another change."
             return Outcome(ErrorKind.CHANGE_ID_REUSED.value, detail, self.version)
         return first.outcome
 
