--- a/tamarackhaven/_consensus.py
+++ b/tamarackhaven/_consensus.py
@@ -1,7 +1,7 @@
-"""Runs one member of the consensus group on a thread of its own.
+"""Runs one member of the consensus group on its own thread.
 
-The thread owns the state machine, the storage and the applied state. All others put
-inputs into its queue and get futures.
+The thread owns the Raft state machine, the storage and the applied state. Other threads
+put inputs into its queue and get futures.
 """
 
 import collections
@@ -12,35 +12,35 @@
 
 import attrs
 
-from tamarackhaven._consensus_waiting import Waiting
+from tamarackhaven._consensus_waiting import PendingRequests
 from tamarackhaven._members import Membership, Step
 from tamarackhaven._raft import Raft, Role
 from tamarackhaven._raft_messages import Message, Snapshot
 from tamarackhaven._storage import Identity
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# Load: many writers at once. Harm: one sync each would bound the group to a few
-# thousand commits a second; an endless batch would hold back heartbeats. Limit: a
-# thousand inputs are handled well within one heartbeat.
-MAX_BATCH = 1024
-# The queue is read at least this often within a heartbeat, so that a tick is late by
-# a small part of it only.
+# All inputs of a batch share one sync. With one sync each, the disk would limit the
+# group to a few thousand commits a second; an unbounded batch would delay heartbeats.
+# A thousand inputs are handled well within one heartbeat interval.
+MAX_INPUTS_PER_BATCH = 1024
+# Ticks per heartbeat interval, so that a tick is late by at most a small part of it.
 TICKS_PER_HEARTBEAT = 4
-# Load: long commands. Harm: the log outgrows the disk before ``snapshot_entries`` is
-# reached. Limit: the larger of this and twice the snapshot, so that rewriting a large
-# state stays rare.
-COMPACT_BYTES = 8 << 20
-# Load: more changes than the disks can sync, as after an availability zone's return.
-# Harm: a queue without end; each change would wait longer than its caller does, and
-# the log in memory would grow. Limit: about two seconds of the commits measured with
-# many writers; beyond it a caller hears at once that its change is not in the log.
-MAX_WAITING = 4096
-BUSY_RETRY_S = 0.5
+# With long commands the log could fill the disk before ``snapshot_entries`` is reached.
+# It is also compacted above the larger of this and twice the snapshot, so that a large
+# state is rewritten rarely.
+MIN_COMPACTION_BYTES = 8 << 20
+# More changes may arrive than the disks can sync, as after an availability zone's
+# return. Without a limit each change would wait longer than its caller does, and the
+# log in memory would grow. The limit is about two seconds of commits at the rate
+# reached with many writers; beyond it a caller gets an error at once that says that its
+# change isn't in the log.
+MAX_PENDING_CHANGES = 4096
+BUSY_RETRY_AFTER_S = 0.5
 
 
 @attrs.frozen
 class Status:
-    """What one member knows of the group and of itself."""
+    """State of one member, and of the group as this member sees it."""
 
     name: str
     role: Role
@@ -76,11 +76,11 @@
 
 @attrs.frozen
 class _Stop:
-    """Ends the thread."""
+    """Input that ends the member's thread."""
 
 
 class Consensus:
-    """One running member.
+    """Runs one member of the consensus group.
 
     Parameters
     ----------
@@ -89,25 +89,26 @@
     settings : RaftSettings
         Timings and sizes.
     storage : Storage
-        Open; closed by ``stop`` and after a fatal error.
+        Must be open; is closed by ``stop`` and after a fatal error.
     membership_at_first_start : Membership
-        Used if the storage is new; without members for one that joins a group.
+        Used if the storage is new; has no members if this one joins a group.
     send : callable
-        Takes a sequence of messages; must not block. Messages may be lost.
+        Called with a sequence of messages; must not block. Messages may be lost.
     machine : object
-        Has ``apply(entry)``, ``snapshot()`` giving bytes, and ``restore(snapshot)``;
-        called from this member's thread only. ``apply`` gets entries of all kinds.
+        Applied state, with ``apply(entry)``, ``snapshot()`` that returns bytes, and
+        ``restore(snapshot)``. They are called on this member's thread only; ``apply``
+        gets entries of all kinds.
     clock : callable
-        Returns seconds that also count while the VM is suspended.
+        Returns a time in seconds that also advances while the VM is suspended.
     rng : random.Random
-        For election timeouts and the folder's id.
+        Used for election timeouts and the folder's id.
     on_fatal : callable
-        Called once with the error if the member has to stop for good.
+        Called once, with the error, if the member has to stop permanently.
 
     Raises
     ------
     TamarackhavenError
-        MEMBER_UNKNOWN if the folder is another member's; errors of the storage.
+        MEMBER_UNKNOWN if the folder belongs to another member; errors of the storage.
     """
 
     def __init__(
@@ -132,15 +133,15 @@
         self._prepare_storage(membership_at_first_start, rng)
         self._raft = self._recover(rng)
         self._tick_s = settings.heartbeat_ms / 1000 / TICKS_PER_HEARTBEAT
-        self._tick_due = clock()
+        self._tick_due_s = clock()
         self._queue = queue.SimpleQueue()
         self._inputs = collections.deque()
-        self._waiting = Waiting()
+        self._pending = PendingRequests()
         self._error = None
         self._is_stopping = False
         self._executor = None
-        self._thread_done = None
-        self._status = self._describe()
+        self._thread_future = None
+        self._status = self._make_status()
 
     def _prepare_storage(self, membership, rng):
         storage = self._storage
@@ -150,7 +151,7 @@
         if storage.identity.name != self._name:
             raise TamarackhavenError(
                 ErrorKind.MEMBER_UNKNOWN,
-                f"the folder belongs to member {storage.identity.name!r}",
+                f"the data folder belongs to member {storage.identity.name!r}",
             )
 
     def _recover(self, rng):
@@ -170,75 +171,76 @@
             rng,
         )
 
-    # Any thread.
+    # Called on any thread.
 
     def start(self):
         """Start the member's thread."""
         self._executor = concurrent.futures.ThreadPoolExecutor(
             1, thread_name_prefix=f"consensus-{self._name}"
         )
-        self._thread_done = self._executor.submit(self._run)
+        self._thread_future = self._executor.submit(self._run)
 
     def stop(self):
-        """Stop the thread and close the storage; what waits is answered."""
+        """Stop the thread, close the storage and fail all pending requests."""
         self._queue.put(_Stop())
         if self._executor:
             self._executor.shutdown(wait=True)
         else:
-            self._finish(_stopped())
+            self._close(_stopped_error())
 
     def deliver(self, messages):
-        """Take in messages of other members."""
+        """Queue messages from other members."""
         self._queue.put(_Deliver(tuple(messages)))
 
     def propose(self, command, term=None):
-        """Add a change to the log.
+        """Append a change to the log.
 
         Parameters
         ----------
         command : bytes
-            For ``machine.apply``.
+            Command for ``machine.apply``.
         term : int or None
-            Only while this member leads in this term; in any if it is None.
+            Append only while this member leads in this term; None allows any term.
 
         Returns
         -------
         concurrent.futures.Future
-            What ``machine.apply`` returned for this entry. Fails with NO_QUORUM if
-            this member doesn't lead in that term, with CONTROL_BUSY if too many
-            changes wait already, with CHANGE_UNCONFIRMED if the entry is in the log
-            and may yet commit or not, or with the fatal error if it never came into
-            the log. Callbacks run on the member's thread and must not block.
+            Result of ``machine.apply`` for this entry. Fails with NO_QUORUM if this
+            member doesn't lead in that term, with CONTROL_BUSY if too many changes
+            are pending already, with CHANGE_UNCONFIRMED if the entry is in the log
+            and may still be committed, or with the fatal error if it was never
+            appended. Callbacks run on the member's thread and must not block.
         """
-        return self._ask(_Propose, command, term)
+        return self._submit(_Propose, command, term)
 
     def change_membership(self, step):
-        """Add one membership change to the log; as ``propose``."""
-        return self._ask(_ChangeMembership, step)
+        """Append one membership change to the log; see ``propose``."""
+        return self._submit(_ChangeMembership, step)
 
     def read(self):
-        """Wait for a moment at which all that was committed before is applied.
+        """Wait until all entries committed before this call are applied.
 
         Returns
         -------
         concurrent.futures.Future
-            The applied index. Fails with NO_QUORUM if this member doesn't lead.
+            The applied index. Fails with NO_QUORUM if this member isn't the leader,
+            or with the fatal error if the member has stopped.
         """
-        return self._ask(_Read)
+        return self._submit(_Read)
 
-    def _ask(self, kind, *values):
+    def _submit(self, kind, *values):
         future = concurrent.futures.Future()
         future.set_running_or_notify_cancel()
         self._queue.put(kind(*values, future))
         if self._error:
-            self._refuse_queued()
+            self._fail_queued()
         return future
 
     def status(self):
-        """Return the ``Status`` after the last input."""
+        """Return the ``Status`` after the last batch of inputs."""
         return self._status
 
-    def _describe(self):
+    def _make_status(self):
         raft = self._raft
         return Status(
             name=self._name,
@@ -250,70 +252,70 @@
             membership=raft.membership,
         )
 
-    # The member's thread.
+    # Called on the member's thread.
 
     def _run(self):
-        error = _stopped()
+        error = _stopped_error()
         fatal = None
         try:
             while not self._is_stopping:
-                self._turn()
+                self._run_batch()
         except TamarackhavenError as caught:
             error = fatal = caught
         except Exception as caught:
             error = fatal = TamarackhavenError(ErrorKind.INTERNAL, repr(caught))
             fatal.__cause__ = caught
-        self._finish(error)
+        self._close(error)
         if fatal:
             self._on_fatal(fatal)
 
-    def _finish(self, error):
-        """Answer all that waits; a failed member takes part in nothing any more."""
+    def _close(self, error):
+        """Close the storage; fail all pending and later requests with ``error``."""
         self._error = error
         self._status = attrs.evolve(self._status, role=Role.FOLLOWER, leader="")
         self._storage.close()
-        self._waiting.fail_all(error)
+        self._pending.fail_all(error)
         for item in self._inputs:
-            self._refuse(item)
+            self._fail_input(item)
         self._inputs.clear()
-        self._refuse_queued()
+        self._fail_queued()
 
-    def _refuse_queued(self):
+    def _fail_queued(self):
         with contextlib.suppress(queue.Empty):
             while True:
-                self._refuse(self._queue.get_nowait())
+                self._fail_input(self._queue.get_nowait())
 
-    def _refuse(self, item):
+    def _fail_input(self, item):
         if isinstance(item, _Propose | _ChangeMembership | _Read):
             item.future.set_exception(self._error)
 
-    def _turn(self):
-        """Handle one batch of inputs with one sync."""
-        self._take_inputs()
+    def _run_batch(self):
+        """Process one batch of inputs with one sync."""
+        self._collect_inputs()
         self._now = self._clock()
         outputs = []
         while self._inputs:
             outputs.extend(self._handle(self._inputs.popleft()))
-        if self._now >= self._tick_due:
-            # Load: a sync that takes longer than an election timeout. Harm: a follower
-            # that looks at the clock before the heartbeats that wait in its queue
-            # starts an election for nothing; so the tick comes after them.
-            self._tick_due = self._now + self._tick_s
+        if self._now >= self._tick_due_s:
+            # After a sync that took longer than an election timeout, heartbeats wait in
+            # the queue. A follower that checked its election timeout before them would
+            # start a needless election, so the tick comes last.
+            self._tick_due_s = self._now + self._tick_s
             outputs.append(self._raft.tick(self._now))
-        if self._waiting.has_new_reads:
-            # All reads of a batch share one round of heartbeats.
-            token = self._waiting.start_reads()
+        if self._pending.has_new_reads:
+            # All reads of a batch share one heartbeat round.
+            token = self._pending.start_read_round()
             outputs.append(self._raft.read(token, self._now))
-        self._carry_out(outputs)
+        self._process_outputs(outputs)
         self._compact_if_large()
-        self._waiting.leave_terms_but(self._leading_term())
-        self._status = self._describe()
+        self._pending.fail_other_terms(self._leading_term())
+        self._status = self._make_status()
 
-    def _take_inputs(self):
-        wait_s = max(self._tick_due - self._clock(), 0.0)
+    def _collect_inputs(self):
+        wait_s = max(self._tick_due_s - self._clock(), 0.0)
         with contextlib.suppress(queue.Empty):
             self._inputs.append(self._queue.get(timeout=min(wait_s, self._tick_s)))
-            while len(self._inputs) < MAX_BATCH:
+            while len(self._inputs) < MAX_INPUTS_PER_BATCH:
                 self._inputs.append(self._queue.get_nowait())
 
     def _leading_term(self):
@@ -321,7 +323,7 @@
 
     @singledispatchmethod
     def _handle(self, item):
-        raise TypeError(f"no input: {type(item).__name__}")
+        raise TypeError(f"unknown input type {type(item).__name__}")
 
     @_handle.register
     def _(self, item: _Deliver):
@@ -329,41 +331,43 @@
 
     @_handle.register
     def _(self, item: _Propose):
-        if self._waiting.entry_count >= MAX_WAITING:
+        if self._pending.proposal_count >= MAX_PENDING_CHANGES:
             item.future.set_exception(
                 TamarackhavenError(
-                    ErrorKind.CONTROL_BUSY, f"{MAX_WAITING} changes", BUSY_RETRY_S
+                    ErrorKind.CONTROL_BUSY,
+                    f"{MAX_PENDING_CHANGES} changes are pending already",
+                    BUSY_RETRY_AFTER_S,
                 )
             )
             return []
         if item.term not in (None, self._raft.term):
-            # Failure: a change waits here while this member loses the lead and wins it
-            # again. Symptom: what was decided before another leader's grants still
-            # takes effect after them. Enough: a decision counts in its own term only.
+            # While a change waits in the queue, this member may lose the leadership and
+            # win it again. A change decided before another leader's grants would then
+            # take effect after them, so it is valid only in the term of its decision.
             item.future.set_exception(
                 TamarackhavenError(
-                    ErrorKind.NO_QUORUM, f"term {item.term} is over", 0.1
+                    ErrorKind.NO_QUORUM, f"term {item.term} has ended", 0.1
                 )
             )
             return []
-        return self._append(self._raft.propose, item.command, item.future)
+        return self._append_entry(self._raft.propose, item.command, item.future)
 
     @_handle.register
     def _(self, item: _ChangeMembership):
-        return self._append(self._raft.change_membership, item.step, item.future)
+        return self._append_entry(self._raft.change_membership, item.step, item.future)
 
-    def _append(self, method, value, future):
+    def _append_entry(self, method, value, future):
         try:
             index, term, output = method(value, self._now)
         except TamarackhavenError as error:
             future.set_exception(error)
             return []
-        self._waiting.add_entry(index, term, future)
+        self._pending.add_proposal(index, term, future)
         return [output]
 
     @_handle.register
     def _(self, item: _Read):
-        self._waiting.add_read(item.future)
+        self._pending.add_read(item.future)
         return []
 
     @_handle.register
@@ -371,22 +375,22 @@
         self._is_stopping = True
         return []
 
-    def _carry_out(self, outputs):
-        """Sync all writes at once, then send, apply and answer in order."""
+    def _process_outputs(self, outputs):
+        """Sync all writes at once, then send, apply and answer reads in order."""
         while outputs:
             writes = [write for output in outputs for write in output.writes]
-            following = []
+            next_outputs = []
             if writes:
-                # Failure: an answer leaves before its write is synced, and the VM
-                # stops. Symptom: a vote is given twice, or an acknowledged entry is
-                # gone. Enough: nothing below runs unless this has returned.
+                # If a reply were sent before its write is synced, a crash of the VM
+                # could make it vote twice in a term or lose an acknowledged entry.
+                # Nothing below runs unless this call has returned.
                 self._storage.write(writes)
-                following = [self._raft.persisted(writes, self._now)]
+                next_outputs = [self._raft.persisted(writes, self._now)]
             for output in outputs:
-                self._finish_output(output)
-            outputs = following
+                self._process_output(output)
+            outputs = next_outputs
 
-    def _finish_output(self, output):
+    def _process_output(self, output):
         if output.messages:
             self._send(output.messages)
         if output.restored:
@@ -396,23 +400,23 @@
         for entry in output.committed:
             result = self._machine.apply(entry)
             self._applied = entry.index
-            self._waiting.finish_entry(entry, result)
+            self._pending.complete_proposal(entry, result)
         for ready in output.reads:
-            self._waiting.confirm_read(ready)
-        self._waiting.drop_reads(output.dropped_reads)
-        self._waiting.finish_reads(self._applied)
+            self._pending.confirm_read(ready)
+        self._pending.fail_reads(output.dropped_reads)
+        self._pending.complete_reads(self._applied)
 
     def _compact_if_large(self):
         entries = self._applied - self._raft.snapshot_index
-        limit = max(COMPACT_BYTES, 2 * self._snapshot_bytes)
+        limit = max(MIN_COMPACTION_BYTES, 2 * self._snapshot_bytes)
         is_large = self._storage.log_bytes > limit and entries > 0
         if not is_large and entries < self._settings.snapshot_entries:
             return
         data = self._machine.snapshot()
         self._snapshot_bytes = len(data)
         snapshot = self._raft.snapshot_at(self._applied, data)
-        self._carry_out([self._raft.compacted(snapshot)])
+        self._process_outputs([self._raft.compact(snapshot)])
 
 
-def _stopped():
-    return TamarackhavenError(ErrorKind.NO_QUORUM, "the member has stopped")
+def _stopped_error():
+    return TamarackhavenError(ErrorKind.NO_QUORUM, "this member has stopped")
--- a/tamarackhaven/_consensus_waiting.py
+++ b/tamarackhaven/_consensus_waiting.py
@@ -1,4 +1,4 @@
-"""Who waits for which log entry, and for which linearizable read."""
+"""Futures of the requests that wait for a log entry or a linearizable read."""
 
 import itertools
 
@@ -7,7 +7,7 @@
 from tamarackhaven._raft_messages import ReadReady
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-NO_QUORUM_RETRY_S = 0.1
+NO_QUORUM_RETRY_AFTER_S = 0.1
 
 
 @attrs.frozen
@@ -16,100 +16,109 @@
     future: object
 
 
-class Waiting:
-    """The open futures of one member; used by its thread only."""
+class PendingRequests:
+    """Pending futures of one member; used on the member's thread only."""
 
     def __init__(self):
         self._proposal_by_index = {}
         self._futures_by_token = {}
         self._new_reads = []
-        self._ready = []
-        self._token = 0
+        self._confirmed_reads = []
+        self._last_token = 0
 
     @property
-    def entry_count(self):
-        """Number of entries that someone waits for."""
+    def proposal_count(self):
+        """Number of entries with a pending future."""
         return len(self._proposal_by_index)
 
-    def add_entry(self, index, term, future):
-        """Wait for entry ``index`` of ``term``."""
+    def add_proposal(self, index, term, future):
+        """Let ``future`` wait for entry ``index`` of ``term``."""
         self._proposal_by_index[index] = _Proposal(term, future)
 
-    def finish_entry(self, entry, result):
-        """Answer whoever waits for a committed entry."""
+    def complete_proposal(self, entry, result):
+        """Complete the future that waits for a committed entry with ``result``."""
         proposal = self._proposal_by_index.pop(entry.index, None)
         if proposal is None:
             return
-        # Failure: another leader's entry took the index. Symptom: a caller would get
-        # the outcome of another's change. Enough: index and term name one entry.
+        # Another leader's entry may have the same index; the caller would get the
+        # outcome of another change. Index and term together identify one entry.
         if proposal.term == entry.term:
             proposal.future.set_result(result)
         else:
-            proposal.future.set_exception(_unconfirmed())
+            proposal.future.set_exception(_unconfirmed_error())
 
-    def leave_terms_but(self, term):
-        """Answer those whose entry this member no longer follows as a leader."""
-        left = [
+    def fail_other_terms(self, term):
+        """Fail the futures of entries of other terms than ``term``.
+
+        Their outcome is unknown to this member, which no longer leads in their term.
+        """
+        outdated = [
             index
             for index, proposal in self._proposal_by_index.items()
             if proposal.term != term
         ]
-        for index in left:
-            self._proposal_by_index.pop(index).future.set_exception(_unconfirmed())
+        for index in outdated:
+            self._proposal_by_index.pop(index).future.set_exception(
+                _unconfirmed_error()
+            )
 
     @property
     def has_new_reads(self):
-        """Whether reads wait that no round was started for."""
+        """Whether reads are pending for which no heartbeat round was started."""
         return bool(self._new_reads)
 
     def add_read(self, future):
-        """Let a read wait for the next round."""
+        """Let a read wait for the next heartbeat round."""
         self._new_reads.append(future)
 
-    def start_reads(self):
-        """Return a token for all new reads, which one round confirms."""
-        self._token += 1
-        self._futures_by_token[self._token] = self._new_reads
+    def start_read_round(self):
+        """Return one token for all new reads, which one heartbeat round confirms."""
+        self._last_token += 1
+        self._futures_by_token[self._last_token] = self._new_reads
         self._new_reads = []
-        return self._token
+        return self._last_token
 
     def confirm_read(self, ready: ReadReady):
-        """Note the index that a read has to wait for."""
-        self._ready.append(ready)
+        """Record the index that confirmed reads have to wait for."""
+        self._confirmed_reads.append(ready)
 
-    def finish_reads(self, applied):
-        """Answer the confirmed reads whose index is applied."""
-        for ready in self._ready:
+    def complete_reads(self, applied):
+        """Complete the confirmed reads whose index is at most ``applied``."""
+        for ready in self._confirmed_reads:
             if ready.index <= applied:
                 for future in self._futures_by_token.pop(ready.token):
                     future.set_result(applied)
-        self._ready = [ready for ready in self._ready if ready.index > applied]
+        self._confirmed_reads = [
+            ready for ready in self._confirmed_reads if ready.index > applied
+        ]
 
-    def drop_reads(self, tokens):
-        """Refuse reads that can't be confirmed."""
+    def fail_reads(self, tokens):
+        """Fail reads that can't be confirmed with NO_QUORUM."""
         for token in tokens:
             for future in self._futures_by_token.pop(token):
                 future.set_exception(
                     TamarackhavenError(
-                        ErrorKind.NO_QUORUM, "not the leader", NO_QUORUM_RETRY_S
+                        ErrorKind.NO_QUORUM,
+                        "this member is not the leader",
+                        NO_QUORUM_RETRY_AFTER_S,
                     )
                 )
 
     def fail_all(self, error):
-        """Answer all: reads with ``error``, entries with CHANGE_UNCONFIRMED.
+        """Fail all futures: reads with ``error``, entries with CHANGE_UNCONFIRMED.
 
-        An entry in the log may have reached others, or this disk in spite of a failed
-        sync; to answer with a kind that says it did not run could be untrue.
+        An entry in the log may have reached other members, or this disk despite a
+        failed sync, so an error that denies that it ran could be wrong.
         """
-        self.start_reads()
+        self.start_read_round()
         for future in itertools.chain.from_iterable(self._futures_by_token.values()):
             future.set_exception(error)
         self._futures_by_token.clear()
-        self._ready.clear()
+        self._confirmed_reads.clear()
         for proposal in self._proposal_by_index.values():
-            proposal.future.set_exception(_unconfirmed(str(error)))
+            proposal.future.set_exception(_unconfirmed_error(str(error)))
         self._proposal_by_index.clear()
 
 
-def _unconfirmed(detail="leadership was lost"):
+def _unconfirmed_error(detail="this member lost the leadership"):
     return TamarackhavenError(ErrorKind.CHANGE_UNCONFIRMED, detail)
--- a/tamarackhaven/_machine.py
+++ b/tamarackhaven/_machine.py
@@ -1,7 +1,7 @@
-"""The state machine under the replicated log: state, history, and who waits for it.
+"""State machine of a control VM: applied state, event history and listeners.
 
-The consensus worker applies entries; calls from daemons and operators read. One lock
-keeps the two apart, so a reader never sees half of an entry.
+The consensus thread applies entries; calls from daemons and operators read. One lock
+covers both, so a reader never sees a partly applied entry.
 """
 
 import threading
@@ -11,7 +11,7 @@
 from tamarackhaven import _codec
 from tamarackhaven._changes import Outcome
 from tamarackhaven._events import MembershipChanged
-from tamarackhaven._feed_wire import DELTA_EVENTS_MAX
+from tamarackhaven._feed_wire import MAX_DELTA_EVENTS
 from tamarackhaven._history import Feed, History
 from tamarackhaven._members import Membership
 from tamarackhaven._raft_messages import EntryKind
@@ -19,12 +19,12 @@
 
 
 class Machine:
-    """Applied state of one control VM.
+    """Applied state and event history of one control VM.
 
     Parameters
     ----------
     membership : Membership
-        The group at its first start.
+        The consensus group at its first start.
     """
 
     def __init__(self, membership):
@@ -45,7 +45,7 @@
         return self._membership
 
     def on_applied(self, listener):
-        """Call ``listener(version)`` after each applied entry, on the worker thread."""
+        """Call ``listener(version)`` after each entry, on the consensus thread."""
         self._listeners.append(listener)
 
     def apply(self, entry):
@@ -53,7 +53,7 @@
         with self.lock:
             outcome, events = self._apply(entry)
             self.history.add(entry.index, events)
-        self._tell(entry.index)
+        self._notify_listeners(entry.index)
         return outcome
 
     def _apply(self, entry):
@@ -68,12 +68,12 @@
         return Outcome(version=entry.index), []
 
     def snapshot(self):
-        """Return the state as bytes."""
+        """Return the state as JSON bytes."""
         with self.lock:
             return _codec.dumps(self.state.snapshot(), StateSnapshot)
 
     def restore(self, snapshot):
-        """Replace the state by a ``Snapshot`` of the log; index 0 is an empty one."""
+        """Replace the state by a ``Snapshot`` of the log; at index 0 it is empty."""
         with self.lock:
             self._membership = snapshot.membership
             if snapshot.data:
@@ -81,19 +81,24 @@
                     _codec.loads(snapshot.data, StateSnapshot)
                 )
             self.state.version = snapshot.index
-            self.history.restart(snapshot.index)
-        self._tell(snapshot.index)
+            self.history.reset(snapshot.index)
+        self._notify_listeners(snapshot.index)
 
     def feed(self, from_version):
-        """Return the ``Feed`` for a watcher; one at version 0 knows no members yet."""
+        """Return the ``Feed`` for a watcher that has applied ``from_version``.
+
+        It holds the complete state if the watcher is at version 0, where it doesn't
+        know the members yet, or if the events since then aren't retained or are too
+        many for a delta.
+        """
         with self.lock:
             version = self.history.version
             events = None if from_version == 0 else self.history.since(from_version)
-            if events is not None and len(events) <= DELTA_EVENTS_MAX:
+            if events is not None and len(events) <= MAX_DELTA_EVENTS:
                 return Feed(version, False, events)
             members = MembershipChanged(version, self._membership)
             return Feed(version, True, [members, *self.state.as_events()])
 
-    def _tell(self, version):
+    def _notify_listeners(self, version):
         for listener in self._listeners:
             listener(version)
--- a/tamarackhaven/_raft_leader.py
+++ b/tamarackhaven/_raft_leader.py
@@ -1,4 +1,4 @@
-"""What a leader does in one term: replicate, commit, confirm that it still leads."""
+"""Leader side of one term: replication, commit, and proof that it still leads."""
 
 from tamarackhaven import _codec, _raft_membership
 from tamarackhaven._members import Membership
@@ -13,76 +13,79 @@
 from tamarackhaven._raft_reads import PendingReads
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# Load: a member that is slow or gone while others commit. Harm: entries sent ahead
-# of its answers fill its memory and ours, and all go again after one loss. Limit:
-# four batches cover many round trips within a region.
-WINDOW_BATCHES = 4
-# A member's last index may be this many batches behind when it is promoted.
-CAUGHT_UP_BATCHES = 1
+# Without a limit, entries sent ahead of the replies of a slow or lost member fill the
+# memory of both sides, and all are sent again after one loss. Four batches cover many
+# round trips within a region.
+MAX_IN_FLIGHT_BATCHES = 4
+# A learner's last index may lag by this many batches when it is promoted.
+MAX_PROMOTION_LAG_BATCHES = 1
 
 
 class Leader:
-    """One term of leadership.
+    """Leadership of one member in one term.
 
     Parameters
     ----------
     core : Core
         The leading member.
     now : float
-        Time of the election's end, in seconds.
+        Time at which the election was won, in seconds.
     """
 
     def __init__(self, core, now):
         self._core = core
         self._now = now
         self._round = 0
-        self._heartbeat_due = now + core.heartbeat_s
-        self._awake_since = now
-        self._ticked_at = now
+        self._heartbeat_due_s = now + core.heartbeat_s
+        self._resumed_at_s = now
+        self._ticked_at_s = now
         self._progress = {}
         self._reads = PendingReads()
         self._append(EntryKind.EMPTY, b"")
 
     def tick(self, now):
-        """Send heartbeats that are due; tell whether a quorum was heard of late."""
+        """Send due heartbeats; return whether a quorum has replied recently."""
         self._now = now
-        self._note_stall()
-        # Failure: a leader hears no quorum, for a one-way cut or a partition.
-        # Symptom: it would accept changes that never commit while another leads.
-        # Enough: others elect only after the same time, so it has stopped by then.
-        if not self._hears_quorum():
+        self._detect_stall()
+        # A leader that gets no replies from a quorum, because of a partition or a
+        # one-way network failure, would accept changes that never commit while
+        # another member leads. It stops after an election timeout; the others start
+        # an election only after the same time.
+        if not self._has_quorum_contact():
             return False
-        if now >= self._heartbeat_due:
-            self._heartbeat()
+        if now >= self._heartbeat_due_s:
+            self._send_heartbeats()
         return True
 
-    def _note_stall(self):
-        # Load: a sync that takes longer than an election timeout. Harm: a leader that
-        # stood still sent nothing that could be answered, and would give up the lead
-        # for its own silence. Limit: one election timeout from its waking on; if
-        # another leads by then, the first answer says so.
-        if self._now - self._ticked_at > self._core.election_s / 2:
-            self._awake_since = self._now
-        self._ticked_at = self._now
-
-    def _hears_quorum(self):
-        heard = self._quorum_value(self._now, lambda progress: progress.heard_at)
-        since = max(heard, self._awake_since)
-        return self._now - since <= self._core.election_s
-
-    def _quorum_value(self, own, of_progress):
-        """Return the largest value that a quorum of voters reaches."""
+    def _detect_stall(self):
+        # A sync that takes longer than an election timeout stalls the leader. It sends
+        # nothing meanwhile, so it gets no replies, and would step down because of its
+        # own pause. It gets one election timeout after it resumes; if another member
+        # leads by then, the first reply says so.
+        if self._now - self._ticked_at_s > self._core.election_s / 2:
+            self._resumed_at_s = self._now
+        self._ticked_at_s = self._now
+
+    def _has_quorum_contact(self):
+        quorum_reply_at_s = self._quorum_value(
+            self._now, lambda progress: progress.replied_at_s
+        )
+        contact_at_s = max(quorum_reply_at_s, self._resumed_at_s)
+        return self._now - contact_at_s <= self._core.election_s
+
+    def _quorum_value(self, own_value, value_of):
+        """Return the largest value that a quorum of voters has reached."""
         core = self._core
         values = [
-            own if name == core.name else of_progress(self._progress[name])
+            own_value if name == core.name else value_of(self._progress[name])
             for name in core.voters
         ]
         return quorum_value(values, core.quorum)
 
-    # Entries.
+    # Log entries.
 
     def propose(self, command):
-        """Append a change; return its index."""
+        """Append a change and return its index."""
         return self._append(EntryKind.CHANGE, command)
 
     def _append(self, kind, command):
@@ -90,43 +93,47 @@
         entry = Entry(core.log.last_index + 1, core.term, kind, command)
         core.log.append((entry,))
         core.outbox.writes.append(WriteEntries((entry,)))
-        self._follow_membership()
+        self._update_progress_members()
         return entry.index
 
     def change_membership(self, step):
-        """Append a membership change; return its index."""
+        """Append a membership change and return its index."""
         core = self._core
-        self._refuse_second_change()
+        self._check_no_open_change()
         progress = self._progress.get(step.member.name)
-        behind = CAUGHT_UP_BATCHES * core.settings.batch_entries
+        max_lag = MAX_PROMOTION_LAG_BATCHES * core.settings.batch_entries
         has_caught_up = (
             progress is not None
             and progress.match_index > 0
-            and progress.match_index + behind >= core.log.last_index
+            and progress.match_index + max_lag >= core.log.last_index
         )
         membership = _raft_membership.changed(
             core.log.membership, step, core.log.last_index + 1, has_caught_up
         )
         return self._append(EntryKind.MEMBERSHIP, _codec.dumps(membership, Membership))
 
-    def _refuse_second_change(self):
-        # Failure: two changes are open at once, or one from an earlier term may be.
-        # Symptom: two majorities without a common voter, so two leaders. Enough: one
-        # committed change more or less always leaves a common voter.
+    def _check_no_open_change(self):
+        # If two membership changes are uncommitted at once, or one of an earlier term
+        # may be, two majorities can exist without a common voter, and so two leaders.
+        # Majorities before and after a single change always share a voter.
         core = self._core
         if core.log.membership_index > core.commit:
             raise TamarackhavenError(
-                ErrorKind.MEMBERSHIP_BUSY, "another change is not committed yet", 1.0
+                ErrorKind.MEMBERSHIP_BUSY,
+                "another membership change is not committed yet",
+                1.0,
             )
         if not self._has_committed_in_term():
             raise TamarackhavenError(
-                ErrorKind.MEMBERSHIP_BUSY, "the leader is too new", 1.0
+                ErrorKind.MEMBERSHIP_BUSY,
+                "the leader has not committed an entry of its term yet",
+                1.0,
             )
 
     def _has_committed_in_term(self):
         return self._core.log.term_at(self._core.commit) == self._core.term
 
-    def _follow_membership(self):
+    def _update_progress_members(self):
         core = self._core
         names = set(core.log.membership.by_name) - {core.name}
         for name in sorted(names - set(self._progress)):
@@ -135,7 +142,7 @@
             del self._progress[name]
 
     def persisted(self, now):
-        """Go on after a sync: count the own log, send what is new."""
+        """Advance the commit index after a sync, and send the synced entries."""
         self._now = now
         self._advance_commit()
         for name in self._progress:
@@ -143,11 +150,13 @@
 
     def _advance_commit(self):
         core = self._core
-        index = self._quorum_value(core.synced_index, lambda each: each.match_index)
-        # Failure: an entry of an earlier term is on a majority, and a member with a
-        # newer last term still wins the next election and overwrites it (Raft paper,
-        # figure 8). Symptom: an acknowledged change is gone. Enough: an entry of the
-        # own term on a majority keeps every such member from winning.
+        index = self._quorum_value(
+            core.synced_index, lambda progress: progress.match_index
+        )
+        # An entry of an earlier term can be on a majority and still be overwritten by
+        # a member with a newer last term that wins the next election (Raft paper,
+        # figure 8); an acknowledged change would be lost. An entry of the current
+        # term on a majority keeps every such member from winning.
         if index <= core.commit or core.log.term_at(index) != core.term:
             return
         core.commit_to(index)
@@ -156,33 +165,36 @@
             self._replicate(name, is_heartbeat=True)
         self._confirm_reads()
 
-    # Sending.
+    # Replication.
 
-    def _heartbeat(self):
+    def _send_heartbeats(self):
         self._round += 1
-        self._heartbeat_due = self._now + self._core.heartbeat_s
+        self._heartbeat_due_s = self._now + self._core.heartbeat_s
         for name in self._progress:
             self._replicate(name, is_heartbeat=True)
 
     def _replicate(self, name, is_heartbeat=False):
-        """Send what the member lacks; an empty message if there is nothing."""
+        """Send the entries or the snapshot that the member lacks.
+
+        With ``is_heartbeat``, an empty message is sent if there is nothing else.
+        """
         core = self._core
         progress = self._progress[name]
         if progress.transfer or progress.next_index <= core.log.start_index:
-            self._send_piece(name, is_heartbeat)
+            self._send_snapshot_chunk(name, is_heartbeat)
             return
-        was_sent = False
-        window = WINDOW_BATCHES * core.settings.batch_entries
+        has_sent = False
+        max_in_flight = MAX_IN_FLIGHT_BATCHES * core.settings.batch_entries
         while (
             progress.next_index <= core.synced_index
-            and progress.next_index - progress.match_index <= window
+            and progress.next_index - progress.match_index <= max_in_flight
         ):
             entries = core.log.batch(
                 progress.next_index, core.synced_index, core.settings.batch_entries
             )
             self._send_append(name, entries)
-            was_sent = True
-        if is_heartbeat and not was_sent:
+            has_sent = True
+        if is_heartbeat and not has_sent:
             self._send_append(name, ())
 
     def _send_append(self, name, entries):
@@ -203,21 +215,21 @@
         )
         progress.next_index += len(entries)
 
-    def _send_piece(self, name, is_heartbeat):
+    def _send_snapshot_chunk(self, name, is_heartbeat):
         core = self._core
         progress = self._progress[name]
         if progress.transfer is None:
             progress.transfer = Transfer(core.log.snapshot)
         transfer = progress.transfer
-        # Load: a member that needs a snapshot and does not answer. Harm: a full piece
-        # at every heartbeat fills the link. Limit: the piece goes again only after an
-        # election timeout; between, an empty one keeps the round going.
-        is_due = self._now - transfer.sent_at >= core.election_s
+        # For a member that needs a snapshot and doesn't reply, a full chunk with every
+        # heartbeat would saturate the link. A chunk is sent again only after an
+        # election timeout; in between, empty ones carry the heartbeat round.
+        is_due = self._now - transfer.sent_at_s >= core.election_s
         if not is_due and not is_heartbeat:
             return
-        chunk = transfer.piece(core.settings.chunk_bytes) if is_due else b""
+        chunk = transfer.next_chunk(core.settings.chunk_bytes) if is_due else b""
         if is_due:
-            transfer.sent_at = self._now
+            transfer.sent_at_s = self._now
         snapshot = transfer.snapshot
         core.send(
             InstallSnapshot(
@@ -234,61 +246,61 @@
             )
         )
 
-    # Answers.
+    # Replies.
 
     def on_append_reply(self, message, now):
-        """Take in a member's answer to entries or a heartbeat."""
-        progress = self._heard(message, now)
+        """Handle a member's reply to entries or a heartbeat."""
+        progress = self._record_reply(message, now)
         if progress is None:
             return
         if message.accepted:
-            progress.matched(message.match_index)
+            progress.advance_match_index(message.match_index)
             self._advance_commit()
-        elif message.round >= progress.backoff_round:
+        elif message.round >= progress.rewind_round:
             self._round += 1
-            progress.back_off(message.match_index, self._round)
+            progress.rewind(message.match_index, self._round)
         self._confirm_reads()
         self._replicate(message.sender)
 
     def on_snapshot_reply(self, message, now):
-        """Take in a member's answer to a piece of a snapshot."""
-        progress = self._heard(message, now)
+        """Handle a member's reply to a snapshot chunk."""
+        progress = self._record_reply(message, now)
         if progress is None or progress.transfer is None:
             return
         if message.match_index:
             progress.transfer = None
-            progress.matched(message.match_index)
+            progress.advance_match_index(message.match_index)
             self._advance_commit()
         elif message.offset != progress.transfer.offset:
             progress.transfer.offset = message.offset
-            progress.transfer.sent_at = float("-inf")
+            progress.transfer.sent_at_s = float("-inf")
         self._confirm_reads()
         self._replicate(message.sender)
 
-    def _heard(self, message, now):
-        """Note that a member answered; return its progress, None if it is removed."""
+    def _record_reply(self, message, now):
+        """Record a member's reply; return its progress, or None if it was removed."""
         self._now = now
         progress = self._progress.get(message.sender)
         if progress is None:
             return None
-        progress.heard_at = now
+        progress.replied_at_s = now
         progress.acked_round = max(progress.acked_round, message.round)
         return progress
 
-    # Reads.
+    # Linearizable reads.
 
     def read(self, token, now):
-        """Start a round of heartbeats that confirms a read."""
+        """Start a heartbeat round that confirms a read."""
         self._now = now
         index = self._core.commit if self._has_committed_in_term() else None
         self._reads.add(token, self._round + 1, index)
-        self._heartbeat()
+        self._send_heartbeats()
         self._confirm_reads()
 
     def _confirm_reads(self):
-        acked = self._quorum_value(self._round, lambda each: each.acked_round)
+        acked = self._quorum_value(self._round, lambda progress: progress.acked_round)
         self._core.outbox.reads.extend(self._reads.take_confirmed(acked))
 
     def stop(self):
-        """End the leadership: its reads can't be confirmed any more."""
+        """End the leadership and drop its reads, which can't be confirmed any more."""
         self._core.outbox.dropped_reads.extend(self._reads.take_all())
--- a/tamarackhaven/_raft_log.py
+++ b/tamarackhaven/_raft_log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory, with the memberships that its entries carry."""
+"""In-memory part of the replicated log, and the memberships in its entries."""
 
 import itertools
 
@@ -7,19 +7,19 @@
 from tamarackhaven._raft_messages import EntryKind
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-# Load: a member far behind under large commands. Harm: one message over the
-# transport's limit (4 MiB for gRPC) would be refused again and again, and the member
-# would never catch up. Limit: a quarter of that; one entry always goes.
-BATCH_BYTES = 1 << 20
+# A message over the transport's limit (4 MiB for gRPC) would be refused at every
+# retry, and a member that lags behind large commands would never catch up. A batch
+# is at most a quarter of the limit, unless a single entry is larger.
+MAX_BATCH_BYTES = 1 << 20
 
 
 class RaftLog:
-    """Entries after a start, which lies at the snapshot or a little before it.
+    """Entries after ``start_index``, which is at or a little before the snapshot.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The newest snapshot; index 0 at a fresh start.
+        The newest snapshot; index 0 at a first start.
     entries : sequence of Entry
         The entries after the snapshot, in order.
     """
@@ -54,62 +54,69 @@
 
     @property
     def membership(self):
-        """The newest membership, committed or not."""
+        """Newest membership, committed or not."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self):
-        """Index of the entry that holds ``membership``."""
+        """Index of the log entry that holds ``membership``."""
         return self._memberships[-1][0]
 
     def membership_at(self, index):
         """Return the membership in effect at ``index``."""
-        past = [kept for at, kept in self._memberships if at <= index]
-        return past[-1]
+        earlier = [held for at, held in self._memberships if at <= index]
+        return earlier[-1]
 
     def term_at(self, index):
-        """Return the term of entry ``index``, or -1 if it isn't held."""
+        """Return the term of entry ``index``, or -1 if it isn't in memory."""
         if index == self.start_index:
             return self._start_term
         if not self.start_index < index <= self.last_index:
             return -1
         return self._entries[index - self.start_index - 1].term
 
-    def between(self, first, last):
-        """Return the entries ``first`` to ``last``, both included."""
+    def entries_between(self, first, last):
+        """Return the entries from index ``first`` to ``last``, both included."""
         start = self.start_index + 1
         return tuple(self._entries[first - start : last - start + 1])
 
     def batch(self, first, last, limit):
-        """Return at most ``limit`` entries and about ``BATCH_BYTES`` from ``first``."""
-        entries = self.between(first, min(last, first + limit - 1))
+        """Return at most ``limit`` entries and ``MAX_BATCH_BYTES`` from ``first`` on.
+
+        The first entry is returned even if it is larger.
+        """
+        entries = self.entries_between(first, min(last, first + limit - 1))
         sizes = itertools.accumulate(len(entry.command) for entry in entries)
-        count = sum(1 for size in sizes if size <= BATCH_BYTES)
+        count = sum(1 for size in sizes if size <= MAX_BATCH_BYTES)
         return entries[: max(count, 1)]
 
-    def is_covered_by(self, index, term):
-        """Tell whether a log that ends at ``index`` and ``term`` is as new as this."""
+    def allows_vote(self, index, term):
+        """Return whether a candidate's log is as up to date as this one.
+
+        ``index`` and ``term`` are those of the candidate's last entry.
+        """
         return (term, index) >= (self.last_term, self.last_index)
 
     def append(self, entries):
-        """Append entries that follow the last one."""
+        """Append entries, which must directly follow the last one."""
         self._extend(entries)
 
     def truncate(self, last):
-        """Drop the entries after ``last``, and the memberships that they carried."""
+        """Drop the entries after index ``last``, with their memberships."""
         del self._entries[last - self.start_index :]
-        self._memberships = [kept for kept in self._memberships if kept[0] <= last]
+        self._memberships = [pair for pair in self._memberships if pair[0] <= last]
 
     def merge(self, entries, commit):
-        """Take in a leader's entries, which fit the log; return the new ones.
+        """Merge a leader's entries, which match the log; return those appended.
 
-        Entries already held are skipped, so that a late duplicate of an old message
-        never shortens the log. Entries that differ are truncated first.
+        Entries that the log holds already are skipped, so that a late duplicate of an
+        old message never truncates the log. From the first entry that differs on, the
+        log is truncated and replaced.
 
         Raises
         ------
         TamarackhavenError
-            LOG_DAMAGED if a committed entry differs; to go on would lose it.
+            LOG_DAMAGED if a committed entry differs; continuing would lose it.
         """
         for position, entry in enumerate(entries):
             if entry.index <= self.start_index:
@@ -120,17 +127,18 @@
                 raise TamarackhavenError(
                     ErrorKind.LOG_DAMAGED, f"committed entry {entry.index} differs"
                 )
-            new = tuple(entries[position:])
+            appended = tuple(entries[position:])
             self.truncate(entry.index - 1)
-            self._extend(new)
-            return new
+            self._extend(appended)
+            return appended
         return ()
 
-    def backoff_hint(self, index, floor):
-        """Return where a leader that was wrong about ``index`` may go on from.
+    def conflict_hint(self, index, floor):
+        """Return the index to which a leader may rewind after a mismatch at ``index``.
 
-        Skips the whole term of the entry at ``index``, so that a leader needs one
-        round a term and not one an entry; never below ``floor``, which is equal.
+        Skips all entries of the term of the entry at ``index``, so that a leader needs
+        one round per term and not one per entry. The result is never below ``floor``,
+        up to which the logs are known to match.
         """
         if index > self.last_index:
             return self.last_index
@@ -140,25 +148,24 @@
         return max(index, floor)
 
     def compact(self, snapshot, keep):
-        """Note a snapshot of applied state; keep ``keep`` entries before it.
+        """Replace the log by ``snapshot``, but retain ``keep`` entries before it.
 
-        Those entries let a member that is a little behind catch up without a
-        snapshot.
+        With those entries a member that lags a little catches up without a snapshot.
         """
         start = min(max(self.start_index, snapshot.index - keep), snapshot.index)
         term = self.term_at(start)
         del self._entries[: start - self.start_index]
         self.start_index, self._start_term = start, term
         self.snapshot = snapshot
-        older = [kept for kept in self._memberships if kept[0] <= snapshot.index]
-        newer = [kept for kept in self._memberships if kept[0] > snapshot.index]
+        older = [pair for pair in self._memberships if pair[0] <= snapshot.index]
+        newer = [pair for pair in self._memberships if pair[0] > snapshot.index]
         self._memberships = older[-1:] + newer
 
     def restore(self, snapshot):
-        """Replace the log by a leader's snapshot, but for entries that follow it."""
+        """Replace the log by a leader's snapshot; entries that continue it stay."""
         if self.term_at(snapshot.index) != snapshot.term:
             self._reset(snapshot)
             return
-        after = self.between(snapshot.index + 1, self.last_index)
+        following = self.entries_between(snapshot.index + 1, self.last_index)
         self._reset(snapshot)
-        self._extend(after)
+        self._extend(following)
--- a/tamarackhaven/_record.py
+++ b/tamarackhaven/_record.py
@@ -1,7 +1,7 @@
-"""Checksummed records in files, and how consensus writes are kept in them.
+"""File format of checksummed records, and the encoding of consensus writes in them.
 
-A file is a header and then records. One call to storage makes one record, so that a
-write cut short by a crash leaves at most one bad record, at the end.
+A file is a header followed by records. Each call to storage appends one record, so that
+a write interrupted by a crash leaves at most one invalid record, at the end.
 """
 
 import itertools
@@ -25,29 +25,29 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 FORMAT_VERSION = 1
-_HEADER = struct.Struct(">6sH")
+_FILE_HEADER = struct.Struct(">6sH")
 _FILE_MARK = b"THAVEN"
 _RECORD_MARK = b"\xf1REC"
-_FRAME = struct.Struct(">4sII")  # mark, length of the body, checksum of both
-_PART = struct.Struct(">BI")  # kind of a write, length of its body
-_TERM = struct.Struct(">Q")
-_ENTRY = struct.Struct(">QQB")  # index, term, kind
-_SNAPSHOT = struct.Struct(">QQI")  # index, term, length of the membership
+_RECORD_HEADER = struct.Struct(">4sII")  # mark, body length in bytes, checksum of both
+_WRITE_HEADER = struct.Struct(">BI")  # kind of a write, length of its body in bytes
+_HARD_STATE_HEADER = struct.Struct(">Q")
+_ENTRY_HEADER = struct.Struct(">QQB")  # index, term, kind
+_SNAPSHOT_HEADER = struct.Struct(">QQI")  # index, term, membership length in bytes
 
-HEADER = _HEADER.pack(_FILE_MARK, FORMAT_VERSION)
+HEADER = _FILE_HEADER.pack(_FILE_MARK, FORMAT_VERSION)
 
 
 @attrs.frozen
 class Scan:
-    """The bodies of the valid records of a file, and where the last one ends."""
+    """Valid record bodies of a file; ``end`` is the offset after the last record."""
 
     bodies: tuple[bytes, ...]
     end: int
 
 
 def record(body):
-    """Return ``body`` framed with its length and checksum."""
-    return _FRAME.pack(_RECORD_MARK, len(body), _checksum(body)) + body
+    """Return ``body`` as a record, with its length and checksum."""
+    return _RECORD_HEADER.pack(_RECORD_MARK, len(body), _checksum(body)) + body
 
 
 def _checksum(body):
@@ -55,44 +55,46 @@
 
 
 def scan(data, path):
-    """Read all records of a file.
+    """Read all records of the file content ``data``.
 
-    A bad record with a valid one after it is damage; one without is a torn tail.
+    An invalid record with a valid one after it is damage; without one it is a torn tail
+    and ends the scan.
 
     Raises
     ------
     TamarackhavenError
-        FORMAT_UNKNOWN, or LOG_DAMAGED with the file and the offset.
+        FORMAT_UNKNOWN for another format version; LOG_DAMAGED, with the file and the
+        offset in bytes.
     """
     _check_header(data, path)
     bodies = []
     offset = len(HEADER)
     while offset < len(data):
-        body = _body_at(data, offset)
+        body = _read_body(data, offset)
         if body is None:
-            _refuse_damage(data, offset, path)
+            _check_torn_tail(data, offset, path)
             break
         bodies.append(body)
-        offset += _FRAME.size + len(body)
+        offset += _RECORD_HEADER.size + len(body)
     return Scan(tuple(bodies), offset)
 
 
 def _check_header(data, path):
     if len(data) < len(HEADER):
         raise damaged(path, 0)
-    mark, version = _HEADER.unpack_from(data)
+    mark, version = _FILE_HEADER.unpack_from(data)
     if mark != _FILE_MARK:
         raise damaged(path, 0)
     if version != FORMAT_VERSION:
         raise TamarackhavenError(ErrorKind.FORMAT_UNKNOWN, f"{path}: version {version}")
 
 
-def _body_at(data, offset):
-    """Return the body of the record at ``offset``, None if it isn't valid."""
-    start = offset + _FRAME.size
+def _read_body(data, offset):
+    """Return the body of the record at ``offset``, or None if it isn't valid."""
+    start = offset + _RECORD_HEADER.size
     if start > len(data):
         return None
-    mark, length, checksum = _FRAME.unpack_from(data, offset)
+    mark, length, checksum = _RECORD_HEADER.unpack_from(data, offset)
     body = data[start : start + length]
     is_valid = (
         mark == _RECORD_MARK and len(body) == length and _checksum(body) == checksum
@@ -100,23 +102,23 @@
     return body if is_valid else None
 
 
-def _refuse_damage(data, offset, path):
-    # Failure: a synced record has gone bad. Symptom: cut like a torn tail, it would
-    # take acknowledged entries and a vote with it. Enough: each record is synced
-    # before the next is written, so what a crash tears has no valid record after it.
+def _check_torn_tail(data, offset, path):
+    # If a damaged record were truncated like a torn tail, acknowledged entries and a
+    # vote would be lost with it. Each record is synced before the next is written, so
+    # a record torn by a crash has no valid record after it.
     candidate = data.find(_RECORD_MARK, offset + 1)
     while candidate >= 0:
-        if _body_at(data, candidate) is not None:
+        if _read_body(data, candidate) is not None:
             raise damaged(path, offset)
         candidate = data.find(_RECORD_MARK, candidate + 1)
 
 
 def damaged(path, offset):
-    """Return the error for a damaged file."""
+    """Return the LOG_DAMAGED error for a file, with the offset in bytes."""
     return TamarackhavenError(ErrorKind.LOG_DAMAGED, f"{path} at offset {offset}")
 
 
-# Consensus writes.
+# Encoding of consensus writes.
 
 _KIND_HARD_STATE = 1
 _KIND_ENTRY = 2
@@ -124,72 +126,76 @@
 
 
 def pack(writes):
-    """Return the body of one record with all of ``writes``."""
-    return b"".join(itertools.chain.from_iterable(_parts(write) for write in writes))
+    """Return the body of one record that holds all of ``writes``."""
+    return b"".join(itertools.chain.from_iterable(_encode(write) for write in writes))
 
 
-def _part(kind, *pieces):
-    body = b"".join(pieces)
-    return _PART.pack(kind, len(body)) + body
+def _encode_item(kind, *chunks):
+    body = b"".join(chunks)
+    return _WRITE_HEADER.pack(kind, len(body)) + body
 
 
 @singledispatch
-def _parts(write):
-    raise TypeError(f"no write: {type(write).__name__}")
+def _encode(write):
+    raise TypeError(f"unknown write type {type(write).__name__}")
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteHardState):
     state = write.hard_state
-    yield _part(_KIND_HARD_STATE, _TERM.pack(state.term), state.vote.encode())
+    yield _encode_item(
+        _KIND_HARD_STATE, _HARD_STATE_HEADER.pack(state.term), state.vote.encode()
+    )
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteEntries):
     for entry in write.entries:
-        head = _ENTRY.pack(entry.index, entry.term, entry.kind)
-        yield _part(_KIND_ENTRY, head, entry.command)
+        header = _ENTRY_HEADER.pack(entry.index, entry.term, entry.kind)
+        yield _encode_item(_KIND_ENTRY, header, entry.command)
 
 
-@_parts.register
+@_encode.register
 def _(write: WriteSnapshot):
     snapshot = write.snapshot
     membership = _codec.dumps(snapshot.membership, Membership)
-    head = _SNAPSHOT.pack(snapshot.index, snapshot.term, len(membership))
-    yield _part(_KIND_SNAPSHOT, head, membership, snapshot.data)
+    header = _SNAPSHOT_HEADER.pack(snapshot.index, snapshot.term, len(membership))
+    yield _encode_item(_KIND_SNAPSHOT, header, membership, snapshot.data)
 
 
 def unpack(body):
-    """Return the writes in one record; each entry as a write of its own."""
+    """Return the writes in a record body, with one ``WriteEntries`` per entry."""
     offset = 0
     writes = []
     while offset < len(body):
-        kind, length = _PART.unpack_from(body, offset)
-        offset += _PART.size
-        writes.append(_READ_BY_KIND[kind](body[offset : offset + length]))
+        kind, length = _WRITE_HEADER.unpack_from(body, offset)
+        offset += _WRITE_HEADER.size
+        writes.append(_DECODER_BY_KIND[kind](body[offset : offset + length]))
         offset += length
     return writes
 
 
-def _read_hard_state(body):
-    (term,) = _TERM.unpack_from(body)
-    return WriteHardState(HardState(term, body[_TERM.size :].decode()))
+def _decode_hard_state(body):
+    (term,) = _HARD_STATE_HEADER.unpack_from(body)
+    return WriteHardState(HardState(term, body[_HARD_STATE_HEADER.size :].decode()))
 
 
-def _read_entry(body):
-    index, term, kind = _ENTRY.unpack_from(body)
-    return WriteEntries((Entry(index, term, EntryKind(kind), body[_ENTRY.size :]),))
+def _decode_entry(body):
+    index, term, kind = _ENTRY_HEADER.unpack_from(body)
+    return WriteEntries(
+        (Entry(index, term, EntryKind(kind), body[_ENTRY_HEADER.size :]),)
+    )
 
 
-def _read_snapshot(body):
-    index, term, length = _SNAPSHOT.unpack_from(body)
-    start = _SNAPSHOT.size
+def _decode_snapshot(body):
+    index, term, length = _SNAPSHOT_HEADER.unpack_from(body)
+    start = _SNAPSHOT_HEADER.size
     membership = _codec.loads(body[start : start + length], Membership)
     return WriteSnapshot(Snapshot(index, term, membership, body[start + length :]))
 
 
-_READ_BY_KIND = {
-    _KIND_HARD_STATE: _read_hard_state,
-    _KIND_ENTRY: _read_entry,
-    _KIND_SNAPSHOT: _read_snapshot,
+_DECODER_BY_KIND = {
+    _KIND_HARD_STATE: _decode_hard_state,
+    _KIND_ENTRY: _decode_entry,
+    _KIND_SNAPSHOT: _decode_snapshot,
 }
--- a/tamarackhaven/_rules.py
+++ b/tamarackhaven/_rules.py
@@ -1,6 +1,6 @@
-"""What each change means: the rules by which a log entry alters the state.
+"""Rules that apply each kind of change to the replicated state.
 
-They look at the change, its index and the state before it, at nothing else.
+Their result depends only on the change, its index and the state before it.
 """
 
 from functools import singledispatch
@@ -33,21 +33,21 @@
 
 @singledispatch
 def apply_change(change, state, index):
-    """Apply one change and return its ``Outcome``, or None if that has no detail.
+    """Apply one change and return its ``Outcome``, or None if it has no detail.
 
     Parameters
     ----------
     change : one of the classes of _changes
         What to apply.
     state : ClusterState
-        The state before, altered in place; left as it is if this raises.
+        The state before the change; modified in place, but not if this raises.
     index : int
         Index of the log entry.
 
     Raises
     ------
     TamarackhavenError
-        Why the change is refused.
+        With the reason if the change is refused.
     """
     raise TamarackhavenError(
         ErrorKind.INVALID_RESOURCE, f"unknown change {type(change).__name__}"
@@ -79,7 +79,7 @@
         detail = f"{change.kind} {change.name!r}"
         raise TamarackhavenError(ErrorKind.NOT_FOUND, detail)
     if change.expected_version != old.version:
-        raise _conflict(old)
+        raise _conflict_error(old)
     check_delete(old, state)
     state.remove_resource(change.kind, change.name, index)
     subject = f"{change.kind}/{change.name}"
@@ -99,12 +99,12 @@
     if state.resource("AvailabilityZone", change.zone) is None:
         raise TamarackhavenError(ErrorKind.UNKNOWN_ZONE, change.zone)
     old = state.member(change.service, change.target)
-    same = old is not None and old.instance == change.instance
-    # Failure: the old process only seemed silent to the leader, and the new one
-    # releases a shard while the old one still holds its lease. Symptom: two
-    # targets serve the key. A lost epoch is fenced by a majority, so its process
-    # can never hold a lease again.
-    if old is not None and not same and old.state is not TargetState.LOST:
+    is_same_process = old is not None and old.instance == change.instance
+    # The leader may miss the reports of an old process that still holds its lease. If
+    # a new process were admitted and released a shard meanwhile, two targets would
+    # serve the same key. The epoch of a lost target is fenced by a majority, so its
+    # process can never hold a lease again.
+    if old is not None and not is_same_process and old.state is not TargetState.LOST:
         raise TamarackhavenError(
             ErrorKind.NAME_CLAIMED,
             f"Instance {old.instance!r} holds {change.service}/{change.target}.",
@@ -120,28 +120,28 @@
         epoch=index,
     )
     state.put_member(member, index)
-    _take_over(state, member, same, index)
+    _transfer_grants(state, member, is_same_process, index)
     result = f"{change.target} joined with epoch {index}"
     state.decide(index, change.service, f"instance {change.instance}", result)
     return Outcome(version=index, member=state.member(change.service, change.target))
 
 
-def _take_over(state, member, same_instance, index):
-    """Carry the shards of an earlier epoch of this target to the new one.
+def _transfer_grants(state, member, is_same_process, index):
+    """Transfer the shards of an earlier epoch of this target to the new epoch.
 
-    The same process keeps its grant numbers: nobody else owned the shard in
-    between, so its ledger of bookings is whole. Another process gets new ones.
+    The same process keeps its grant numbers: no other target owned the shards in
+    between, so its ledger of bookings is complete. Another process gets new numbers.
     """
-    for grant in _owned(state, member.service, member.target):
-        if same_instance:
+    for grant in _grants_of(state, member.service, member.target):
+        if is_same_process:
             state.put_grant(attrs.evolve(grant, epoch=member.epoch), index)
         else:
-            _grant(state, grant, member, index, grant.moving_to)
+            _grant_to(state, grant, member, index, grant.moving_to)
 
 
 @apply_change.register
 def _(change: LeaveTarget, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     if member.state is TargetState.ACTIVE:
         state.put_member(attrs.evolve(member, state=TargetState.LEAVING), index)
         state.decide(index, change.service, f"{change.target} said so", "leaving")
@@ -149,27 +149,30 @@
 
 @apply_change.register
 def _(change: RetireTarget, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     state.put_member(attrs.evolve(member, state=TargetState.LOST), index)
-    owned = _owned(state, change.service, change.target)
+    owned = _grants_of(state, change.service, change.target)
     for grant in owned:
-        _hand_over(state, grant, index)
+        _complete_move(state, grant, index)
     result = f"{change.target} epoch {change.epoch} retired"
     shards = [grant.shard for grant in owned]
     state.decide(index, change.service, change.cause, result, shards)
 
 
-def _hand_over(state, grant, index):
-    """Grant a shard that its owner has lost or released to whom it moves to."""
+def _complete_move(state, grant, index):
+    """Grant a shard to ``moving_to``; leave it unowned if that is ineligible.
+
+    Its owner has released the shard or is lost.
+    """
     member = state.member(grant.service, grant.moving_to)
-    if not _eligible(state, member):
-        free = attrs.evolve(grant, owner="", epoch=0, moving_to="")
-        state.put_grant(free, index)
+    if not _is_eligible(state, member):
+        unowned = attrs.evolve(grant, owner="", epoch=0, moving_to="")
+        state.put_grant(unowned, index)
         return
-    _grant(state, grant, member, index)
+    _grant_to(state, grant, member, index)
 
 
-def _grant(state, grant, member, index, moving_to=""):
+def _grant_to(state, grant, member, index, moving_to=""):
     state.put_grant(
         attrs.evolve(
             grant,
@@ -192,7 +195,7 @@
         member = state.member(change.service, move.to_target)
         if grant is None or grant.grant != move.grant:
             continue
-        if not _eligible(state, member):
+        if not _is_eligible(state, member):
             continue
         _move(state, grant, member, index)
         moved.append(move.shard)
@@ -202,7 +205,7 @@
 
 def _move(state, grant, member, index):
     if not grant.owner:
-        _grant(state, grant, member, index)
+        _grant_to(state, grant, member, index)
     elif grant.owner == member.target:
         state.put_grant(attrs.evolve(grant, moving_to=""), index)
     else:
@@ -211,23 +214,23 @@
 
 @apply_change.register
 def _(change: ReleaseShards, state, index):
-    member = _current(state, change.service, change.target, change.epoch)
+    member = _require_current_member(state, change.service, change.target, change.epoch)
     grants = state.grants(change.service)
     released = []
-    for wanted in change.grants:
-        grant = grants.get(wanted.shard)
-        if grant is None or grant.grant != wanted.grant:
+    for requested in change.grants:
+        grant = grants.get(requested.shard)
+        if grant is None or grant.grant != requested.grant:
             continue
         if grant.owner != change.target:
             continue
         if grant.moving_to:
-            _hand_over(state, grant, index)
+            _complete_move(state, grant, index)
         else:
-            # The move was taken back while the owner let go of the shard: it
-            # gets it again under a new number, since it will never again admit
-            # under the one it released.
-            _grant(state, grant, member, index)
-        released.append(wanted.shard)
+            # The move was cancelled while the owner was releasing the shard. The owner
+            # gets it back under a new grant number, because it admits nothing more
+            # under a number that it has released.
+            _grant_to(state, grant, member, index)
+        released.append(requested.shard)
     result = f"{change.target} released {len(released)}"
     state.decide(index, change.service, "planned move", result, released)
 
@@ -264,7 +267,8 @@
     if service is None or not pinned:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, "The key is not pinned.")
     base = grants[_keys.shard_of(change.key_hash, service.shard_count)]
-    # With two owners the key would change hands without a release.
+    # With different owners, or during a move, unpinning would change the key's owner
+    # without a release.
     if pinned[0].owner != base.owner or pinned[0].moving_to or base.moving_to:
         raise TamarackhavenError(ErrorKind.STALE_GRANT, "Its shard is elsewhere.")
     state.remove_shard(change.service, pinned[0].shard, index)
@@ -272,11 +276,11 @@
     state.decide(index, change.service, change.cause, "key unpinned", shards)
 
 
-def _eligible(state, member):
-    """Whether a target may be given shards.
+def _is_eligible(state, member):
+    """Return whether shards may be granted to a target.
 
-    Checked again here, not only by the placement: an availability zone taken
-    out between the leader's plan and this entry would else get new shards.
+    The placement has checked this before, but an availability zone may have been taken
+    out between the leader's plan and this entry; it must not get new shards.
     """
     if member is None or member.state is not TargetState.ACTIVE:
         return False
@@ -284,12 +288,19 @@
     return zone is not None and zone.state is ZoneState.IN
 
 
-def _owned(state, service, target):
+def _grants_of(state, service, target):
     return [g for g in state.grants(service).values() if g.owner == target]
 
 
-def _current(state, service, target, epoch):
-    """Return the target if ``epoch`` is its present one."""
+def _require_current_member(state, service, target, epoch):
+    """Return the target, or refuse an ``epoch`` that isn't its current one.
+
+    Raises
+    ------
+    TamarackhavenError
+        NOT_FOUND if there is no such target; STALE_EPOCH if it is lost or has another
+        epoch.
+    """
     member = state.member(service, target)
     if member is None:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{service}/{target}")
@@ -300,7 +311,7 @@
     return member
 
 
-def _conflict(old):
+def _conflict_error(old):
     error = TamarackhavenError(
         ErrorKind.VERSION_CONFLICT, f"{old.name!r} is at version {old.version}."
     )
@@ -320,4 +331,4 @@
         error.version = old.version
         raise error
     if expected != old.version:
-        raise _conflict(old)
+        raise _conflict_error(old)
--- a/tamarackhaven/_storage.py
+++ b/tamarackhaven/_storage.py
@@ -1,8 +1,8 @@
-"""What one member of the consensus group keeps on disk, in one data folder.
+"""Durable storage of one consensus member, in one data folder.
 
-``identity`` says whose folder it is. ``log-N`` starts with a snapshot, the term and
-vote, and the entries after the snapshot; later writes are appended. A new snapshot
-makes a new file, so that a snapshot and its log are one and can't be mixed up.
+``identity`` names the member that owns the folder. ``log-N`` starts with a snapshot,
+the term and vote, and the entries after the snapshot; later writes are appended. Each
+new snapshot starts a new file, so that a snapshot can't be combined with another log.
 """
 
 import contextlib
@@ -30,14 +30,14 @@
 
 @attrs.frozen
 class Identity:
-    """Whose folder it is.
+    """Owner of a data folder.
 
     Parameters
     ----------
     name : str
         The member's name.
     folder_id : str
-        Random; another first start gets another one.
+        Random id; every first start generates a new one.
     """
 
     name: str
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Recovered:
-    """What was synced before the last stop; no snapshot in a new folder."""
+    """State recovered from a folder; ``snapshot`` is None if the folder is new."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -54,14 +54,14 @@
 
 
 @attrs.define
-class _State:
-    """The state that the writes of a log file add up to."""
+class _LogState:
+    """State that results from the writes of a log file."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: list[Entry] = attrs.field(factory=list)
 
-    def take(self, writes):
+    def apply(self, writes):
         for write in writes:
             if isinstance(write, WriteHardState):
                 self.hard_state = write.hard_state
@@ -77,15 +77,15 @@
         self.entries.extend(entries)
 
     def _replace(self, snapshot):
-        """Keep the entries after the snapshot only if they continue it."""
+        """Set the snapshot; keep the entries after it only if they continue it."""
         terms = {entry.index: entry.term for entry in self.entries}
-        continues = terms.get(snapshot.index) == snapshot.term
-        after = [entry for entry in self.entries if entry.index > snapshot.index]
-        self.entries = after if continues else []
+        is_continuation = terms.get(snapshot.index) == snapshot.term
+        following = [entry for entry in self.entries if entry.index > snapshot.index]
+        self.entries = following if is_continuation else []
         self.snapshot = snapshot
 
     def base(self):
-        """Return the writes that a new file starts with."""
+        """Return the writes at the start of a new file."""
         writes = [WriteSnapshot(self.snapshot), WriteHardState(self.hard_state)]
         if self.entries:
             writes.append(WriteEntries(tuple(self.entries)))
@@ -93,11 +93,11 @@
 
 
 class Storage:
-    """One open data folder; use ``Storage.open``.
+    """An open data folder; call ``Storage.open`` to get one.
 
-    After a failed write or sync, every later call fails with the same error: what
-    the disk holds is not known any more, and a repeated sync may claim success for
-    data that the system has already dropped.
+    After a failed write or sync, every later call fails with the same error: the
+    content of the disk is unknown, and a repeated sync may report success for data
+    that the operating system has already dropped.
     """
 
     def __init__(self, folder, files, lock):
@@ -106,7 +106,7 @@
         self._lock = lock
         self._descriptor = None
         self._number = 0
-        self._state = _State()
+        self._state = _LogState()
         self._failure = None
         self.log_bytes = 0
         self.sync_count = 0
@@ -114,7 +114,7 @@
 
     @classmethod
     def open(cls, folder, files=None):
-        """Open, lock and recover a data folder; make it if it isn't there.
+        """Open, lock and recover a data folder; create it if it doesn't exist.
 
         Raises
         ------
@@ -134,27 +134,33 @@
 
     @property
     def is_new(self):
-        """Whether the folder holds no member yet.
+        """Whether the folder has no member yet.
 
-        A member that has voted before must not start from a new folder under its old
-        name: it has forgotten its promises.
+        A member that has voted must not restart with a new folder under its old name,
+        because its term and vote are lost and it could vote twice.
         """
         return self.identity is None
 
     @property
     def recovered(self):
-        """What the folder holds, as ``Recovered``."""
+        """Present content of the folder, as ``Recovered``."""
         state = self._state
         return Recovered(state.hard_state, state.snapshot, tuple(state.entries))
 
     def create(self, identity, snapshot):
-        """Make a new folder the one of ``identity``, starting at ``snapshot``."""
-        self._refuse_after_failure()
+        """Initialize a new folder for ``identity``, with ``snapshot``.
+
+        Raises
+        ------
+        TamarackhavenError
+            ALREADY_EXISTS if the folder has a member; SYNC_FAILED or DISK_FULL.
+        """
+        self._raise_kept_failure()
         if not self.is_new:
             raise TamarackhavenError(ErrorKind.ALREADY_EXISTS, str(self._folder))
-        self._state = _State(snapshot=snapshot)
+        self._state = _LogState(snapshot=snapshot)
         body = _codec.dumps(identity, Identity)
-        with self._failing():
+        with self._keep_failure():
             self._sync_parent()
             self._start_file()
             _files.replace(
@@ -165,25 +171,27 @@
         self.identity = identity
 
     def write(self, writes):
-        """Append and sync ``writes``; durable when this returns.
+        """Append and sync ``writes``, which are durable when this returns.
 
         Raises
         ------
         TamarackhavenError
-            SYNC_FAILED or DISK_FULL, and again at every later call.
+            SYNC_FAILED or DISK_FULL, now and at every later call.
         """
-        self._refuse_after_failure()
+        self._raise_kept_failure()
         if self.is_new:
-            raise TamarackhavenError(ErrorKind.INTERNAL, "the folder has no member")
-        with self._failing():
-            self._state.take(writes)
+            raise TamarackhavenError(
+                ErrorKind.INTERNAL, "the data folder has no member yet"
+            )
+        with self._keep_failure():
+            self._state.apply(writes)
             if any(isinstance(write, WriteSnapshot) for write in writes):
                 self._start_file()
             else:
                 self._append(_record.record(_record.pack(writes)))
 
     def close(self):
-        """Give the folder free for another process."""
+        """Close the files and release the lock of the folder."""
         for descriptor in (self._descriptor, self._lock):
             if descriptor is not None:
                 os.close(descriptor)
@@ -192,15 +200,15 @@
             ErrorKind.INTERNAL, "the storage is closed"
         )
 
-    # Writing.
+    # Writes.
 
-    def _refuse_after_failure(self):
+    def _raise_kept_failure(self):
         if self._failure:
             raise self._failure
 
     @contextlib.contextmanager
-    def _failing(self):
-        """Refuse every later call after an error in this block."""
+    def _keep_failure(self):
+        """Keep an error raised in this block, so that every later call raises it."""
         try:
             yield
         except BaseException as error:
@@ -213,12 +221,12 @@
             _files.write_all(self._files, self._descriptor, data)
             self._files.sync(self._descriptor)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
         self.log_bytes += len(data)
         self.sync_count += 1
 
     def _start_file(self):
-        """Write the whole state as a new file and drop the old one."""
+        """Write the whole state to a new file and remove the old one."""
         base = _record.record(_record.pack(self._state.base()))
         old = self._number
         path = self._path(old + 1)
@@ -231,12 +239,12 @@
             self._remove(self._path(old))
 
     def _sync_parent(self):
-        # Failure: the VM stops and the new folder's name was never synced. Symptom:
-        # a member that has voted comes back with an empty folder.
+        # Without this sync the name of the new folder may be lost in a crash of the
+        # VM, and a member that has voted would restart with an empty folder.
         try:
             _files.sync_folder(self._files, self._folder.parent)
         except OSError as error:
-            raise _files.as_error(error, self._folder) from error
+            raise _files.error_of(error, self._folder) from error
 
     def _open_for_append(self, path):
         try:
@@ -245,13 +253,13 @@
                 self._descriptor = None
             self._descriptor = self._files.open(path, os.O_WRONLY | os.O_APPEND)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
     def _remove(self, path):
         try:
             self._files.remove(path)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
     def _path(self, number):
         return self._folder / f"{_LOG}{number:08d}"
@@ -262,7 +270,7 @@
         identity = self._read_identity()
         paths = sorted(self._folder.glob(f"{_LOG}" + "[0-9]" * 8))
         if identity is None:
-            self._drop_unfinished(paths)
+            self._remove_interrupted_create(paths)
             return
         if not paths:
             raise _record.damaged(self._folder / f"{_LOG}*", 0)
@@ -271,13 +279,13 @@
             self._remove(path)
         self.identity = identity
 
-    def _drop_unfinished(self, paths):
-        """Remove what a crash amid ``create`` left; nothing was promised yet."""
+    def _remove_interrupted_create(self, paths):
+        """Remove the log of an interrupted ``create``; the member hasn't voted yet."""
         if not paths:
             return
         found = _record.scan(paths[-1].read_bytes(), paths[-1])
-        is_unfinished = paths[-1] == self._path(1) and len(found.bodies) == 1
-        if not is_unfinished:
+        is_interrupted = paths[-1] == self._path(1) and len(found.bodies) == 1
+        if not is_interrupted:
             raise _record.damaged(self._folder / _IDENTITY, 0)
         self._remove(paths[-1])
 
@@ -296,25 +304,31 @@
         if not found.bodies:
             raise _record.damaged(path, len(_record.HEADER))
         for body in found.bodies:
-            self._state.take(_record.unpack(body))
+            self._state.apply(_record.unpack(body))
         self._number = int(path.name.removeprefix(_LOG))
         self._open_for_append(path)
         base = len(_record.HEADER) + len(_record.record(found.bodies[0]))
         self.log_bytes = found.end - base
         if found.end < len(data):
-            self._cut(path, found.end)
+            self._truncate_tail(path, found.end)
 
-    def _cut(self, path, length):
-        """Cut a torn tail, so that later records follow a valid one."""
+    def _truncate_tail(self, path, length):
+        """Truncate a torn tail, so that later records follow a valid one."""
         try:
             self._files.truncate(self._descriptor, length)
             self._files.sync(self._descriptor)
         except OSError as error:
-            raise _files.as_error(error, path) from error
+            raise _files.error_of(error, path) from error
 
 
 def _lock(folder):
-    """Lock a folder for this process; return the descriptor that holds the lock."""
+    """Lock a folder for this process; return the descriptor that holds the lock.
+
+    Raises
+    ------
+    TamarackhavenError
+        FOLDER_LOCKED if another process holds the lock.
+    """
     path = folder / _LOCK
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
--- a/tests/raft_group.py
+++ b/tests/raft_group.py
@@ -1,4 +1,4 @@
-"""Members of one group over a network and disks made of plain lists, for tests."""
+"""Simulated consensus group for tests, with an in-memory network and disks."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Disk:
-    """What one member has synced."""
+    """Synced state of one member, in memory."""
 
     def __init__(self, first):
         self.hard_state = HardState()
@@ -43,8 +43,8 @@
             else:
                 self._replace(write.snapshot)
 
-    def check_equals(self, node):
-        """Compare the log in memory with this naive one."""
+    def check_end_matches(self, node):
+        """Check that the member's log ends at the same index and term as this one."""
         last = self.entries[-1].index if self.entries else self.snapshot.index
         assert node.last_index == last
         assert node.snapshot_at(last, b"").term == (
@@ -60,10 +60,10 @@
 
 
 class Group:
-    """Runs members by hand: nothing moves unless a test says so.
+    """Group of Raft members; a test controls its messages and its time.
 
-    ``committed_by_index`` is the naive record: the first member to commit an index
-    says what it is, and all others must agree for ever.
+    ``committed_by_index`` holds the entry that the first member committed at each
+    index; every later commit of that index, by any member, must be equal to it.
     """
 
     def __init__(self, *names, seed=0, settings=SETTINGS):
@@ -73,7 +73,7 @@
         first = membership(*names)
         self.disks = {name: Disk(first) for name in names}
         self.nodes = {}
-        self.wire = []
+        self.in_flight = []
         self.applied = {}
         self.reads = {}
         self.committed_by_index = {}
@@ -104,14 +104,14 @@
         del self.nodes[name]
 
     def take(self, name, output, syncs=True):
-        """Carry out an output; without ``syncs`` the member crashes before it."""
+        """Process an output; without ``syncs`` the member crashes before its sync."""
         if not syncs:
             self.crash(name)
             return
         if output.writes:
             self.disks[name].write(output.writes)
-            self.disks[name].check_equals(self.nodes[name])
-            self.note(name, "sync", output.writes)
+            self.disks[name].check_end_matches(self.nodes[name])
+            self._record(name, "sync", output.writes)
         self._send(name, output.messages)
         self._apply(name, output)
         for ready in output.reads:
@@ -124,30 +124,30 @@
 
     def _send(self, name, messages):
         for message in messages:
-            self.note(name, "send", [message])
-            self.wire.append(message)
+            self._record(name, "send", [message])
+            self.in_flight.append(message)
 
     def _apply(self, name, output):
         if output.restored:
-            self.note(name, "restore", [output.restored])
+            self._record(name, "restore", [output.restored])
             self.applied[name] = output.restored.index
         for entry in output.committed:
             assert entry.index == self.applied[name] + 1
             assert self.committed_by_index.setdefault(entry.index, entry) == entry
             self.applied[name] = entry.index
         if output.committed:
-            self.note(name, "commit", output.committed)
+            self._record(name, "commit", output.committed)
 
     def _check_leader(self, name):
         node = self.nodes[name]
         if node.role is Role.LEADER:
             assert self.leader_by_term.setdefault(node.term, name) == name
 
-    def note(self, name, what, items):
+    def _record(self, name, what, items):
         if self.log is not None:
             self.log.extend(f"  {name} {what} {render(item)}" for item in items)
 
-    def say(self, text):
+    def add_heading(self, text):
         self.log.append(text)
 
     def tick(self, name, seconds=0.0):
@@ -162,15 +162,15 @@
             self.take(message.receiver, output, syncs)
 
     def settle(self):
-        """Deliver until nothing is on the wire."""
+        """Deliver messages until none is in flight."""
         for _ in range(10_000):
-            if not self.wire:
+            if not self.in_flight:
                 return
-            self.deliver(self.wire.pop(0))
-        raise AssertionError("the members never fall silent")
+            self.deliver(self.in_flight.pop(0))
+        raise AssertionError("the members still send messages after 10,000 deliveries")
 
     def run(self, seconds, step=0.01):
-        """Tick all members and deliver everything, for some time."""
+        """Tick all members and deliver all messages, for ``seconds`` in steps."""
         for _ in range(round(seconds / step)):
             self.now = round(self.now + step, 6)
             for name in sorted(self.nodes):
@@ -178,7 +178,7 @@
             self.settle()
 
     def elect(self, name):
-        """Let ``name`` alone run out of patience; return it as leader."""
+        """Let only ``name`` reach its election timeout; return it as leader."""
         self.now += 1.0
         self.tick(name)
         self.settle()
@@ -205,20 +205,20 @@
         if self.applied[name] > node.snapshot_index:
             data = b"state" * 600
             snapshot = node.snapshot_at(self.applied[name], data)
-            self.take(name, node.compacted(snapshot))
+            self.take(name, node.compact(snapshot))
 
     def cut(self, *names):
-        """Cut ``names`` from all others, both ways."""
-        for one in names:
+        """Partition ``names`` from all other members, in both directions."""
+        for name in names:
             for other in set(self.disks) - set(names):
-                self.blocked |= {(one, other), (other, one)}
+                self.blocked |= {(name, other), (other, name)}
 
     def heal(self):
         self.blocked.clear()
 
 
 def render(item):
-    """One line for a person: class name, then fields that say something."""
+    """Return a readable line: the class name, then all fields except the sender."""
     if isinstance(item, tuple):
         return "[" + " ".join(render(each) for each in item) + "]"
     kind = type(item).__name__
@@ -232,6 +232,6 @@
         return f"{len(item)}B"
     if not hasattr(item, "__attrs_attrs__"):
         return str(item)
-    fields = [a.name for a in item.__attrs_attrs__ if a.name != "sender"]
-    parts = [f"{name}={render(getattr(item, name))}" for name in fields]
+    field_names = [a.name for a in item.__attrs_attrs__ if a.name != "sender"]
+    parts = [f"{name}={render(getattr(item, name))}" for name in field_names]
     return f"{kind} " + " ".join(parts)
--- a/tests/test_feed_wire.py
+++ b/tests/test_feed_wire.py
@@ -1,11 +1,11 @@
-"""Tests of a feed's bytes."""
+"""Tests of the compressed encoding of feeds."""
 
 import tracemalloc
 
 import pytest
 
 from tamarackhaven._events import ResourceDeleted, ShardChanged
-from tamarackhaven._feed_wire import PART_EVENTS, PackedEvents, pack
+from tamarackhaven._feed_wire import MAX_PART_EVENTS, PackedEvents, pack
 from tamarackhaven._history import Feed
 from tamarackhaven._model import ShardGrant
 from tamarackhaven._view import View
@@ -18,8 +18,8 @@
     ]
 
 
-def test_events_are_read_back_and_again():
-    for count in (0, 1, PART_EVENTS, 3 * PART_EVENTS + 1):
+def test_packed_events_can_be_read_repeatedly():
+    for count in (0, 1, MAX_PART_EVENTS, 3 * MAX_PART_EVENTS + 1):
         events = [*events_of(count), ResourceDeleted(9, "Service", "line\nend")]
         packed = PackedEvents(pack(events))
         assert list(packed) == list(packed) == events
@@ -27,8 +27,8 @@
     assert list(PackedEvents(b"")) == []
 
 
-def test_a_feed_that_is_cut_off_changes_nothing():
-    data = pack(events_of(3 * PART_EVENTS))
+def test_truncated_feed_changes_nothing():
+    data = pack(events_of(3 * MAX_PART_EVENTS))
     for snapshot in (True, False):
         view = View()
         with pytest.raises(TamarackhavenError):
@@ -37,13 +37,14 @@
         assert view.owned_by("s", "t0") == []
 
 
-def test_a_first_feed_is_never_whole_in_memory():
-    """A daemon starts at a service with many shards and must stay within 64 MB.
+def test_first_feed_is_decoded_in_parts():
+    """Guards against a first feed that exceeds a daemon's memory limit of 64 MB.
 
-    The feed arrives packed. All of it as records takes some 1,200 bytes a shard; read
-    a part at a time, the peak stays far below that and hardly grows with the shards.
+    A daemon that starts at a service with many shards gets a compressed feed. Decoded
+    at once it takes about 1,200 bytes per shard as records; decoded one part at a time,
+    the peak stays far below that and hardly grows with the number of shards.
     """
-    count = 32 * PART_EVENTS
+    count = 32 * MAX_PART_EVENTS
     data = pack(events_of(count))
     view = View()
     tracemalloc.start()
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Sessions of the consensus state machine, as golden text and as failures."""
+"""Tests of the Raft state machine: golden transcripts and failure cases."""
 
 import random
 
@@ -6,7 +6,7 @@
 import pytest
 
 from tamarackhaven import _raft_wire
-from tamarackhaven._consensus_waiting import Waiting
+from tamarackhaven._consensus_waiting import PendingRequests
 from tamarackhaven._members import Membership
 from tamarackhaven._raft import Role
 from tamarackhaven._raft_messages import (
@@ -27,7 +27,7 @@
 from tests.raft_group import SETTINGS, Group, membership
 
 
-def session(*names, leader=None):
+def recorded_group(*names, leader=None):
     group = Group(*names)
     if leader:
         group.elect(leader)
@@ -39,52 +39,54 @@
     golden.check(name, "\n".join(group.log) + "\n")
 
 
-def led(*names):
-    """A group whose first member leads and has committed its first entry."""
+def group_led_by_first(*names):
+    """Return a group whose first member leads and has committed its first entry."""
     group = Group(*names)
     group.elect(names[0])
     group.run(0.1)
     return group
 
 
-def kind_of(call, *args):
+def raised_kind(call, *args):
     with pytest.raises(TamarackhavenError) as caught:
         call(*args)
     return caught.value.kind
 
 
-# Golden sessions.
+# Golden transcripts.
 
 
 def test_golden_election():
-    group = session("a", "b", "c")
-    group.say("a hears no leader for an election timeout")
+    group = recorded_group("a", "b", "c")
+    group.add_heading("a hears no leader for an election timeout")
     group.elect("a")
-    group.say("c is asked for a vote by b, while it hears a")
+    group.add_heading("c is asked for a vote by b, while it hears a")
     group.deliver(PreVote("b", "c", 2, last_index=1, last_term=1))
     group.deliver(Vote("b", "c", 2, last_index=1, last_term=1))
-    group.say("a is cut off; b and c go on without it")
+    group.add_heading("a is cut off; b and c go on without it")
     group.cut("a")
     group.now += 1.0
     group.tick("b")
     group.settle()
-    group.say("a hears no quorum for an election timeout and steps down")
+    group.add_heading("a hears no quorum for an election timeout and steps down")
     for _ in range(5):
         group.tick("a", 0.1)
     group.settle()
     assert group.nodes["a"].role is Role.FOLLOWER
-    group.say(f"a is {group.nodes['a'].role.value}, b {group.nodes['b'].role.value}")
+    group.add_heading(
+        f"a is {group.nodes['a'].role.value}, b {group.nodes['b'].role.value}"
+    )
     check(group, "raft_election")
 
 
 def test_golden_replication_with_a_lagging_follower():
-    group = session("a", "b", "c", leader="a")
-    group.say("c hears nothing while a and b commit six changes")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("c hears nothing while a and b commit six changes")
     group.cut("c")
     for number in range(6):
         group.propose("a", b"change-%d" % number)
     group.settle()
-    group.say("c hears the leader again")
+    group.add_heading("c hears the leader again")
     group.heal()
     group.tick("a", 0.05)
     group.settle()
@@ -92,13 +94,13 @@
 
 
 def test_golden_snapshot_transfer():
-    group = session("a", "b", "c", leader="a")
-    group.say("c hears nothing while a and b commit 6 changes")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("c hears nothing while a and b commit 6 changes")
     group.cut("c")
     for number in range(6):
         group.propose("a", b"change-%d" % number)
     group.settle()
-    group.say("a replaces its log by a snapshot of 3,000 bytes; c is behind it")
+    group.add_heading("a replaces its log by a snapshot of 3,000 bytes; c is behind it")
     group.compact("a")
     group.heal()
     group.tick("a", 0.05)
@@ -107,31 +109,31 @@
 
 
 def test_golden_membership_change():
-    group = session("a", "b", "c", leader="a")
-    group.say("d joins as a learner")
+    group = recorded_group("a", "b", "c", leader="a")
+    group.add_heading("d joins as a learner")
     group.join("d")
     group.change("a", "add", "d")
     group.settle()
-    group.say("d has caught up and gets a vote")
+    group.add_heading("d has caught up and gets a vote")
     group.change("a", "promote", "d")
     group.settle()
-    group.say("a removes itself; it leads until that is committed")
+    group.add_heading("a removes itself; it leads until that is committed")
     group.change("a", "remove", "a")
     group.settle()
-    group.say(f"a is {group.nodes['a'].role.value}")
+    group.add_heading(f"a is {group.nodes['a'].role.value}")
     check(group, "raft_membership")
 
 
 # Elections under failures.
 
 
-def test_member_cut_off_for_long_returns_without_deposing_the_leader():
-    """Callers see no pause when a member that was silently cut off comes back.
+def test_partitioned_member_returns_without_deposing_the_leader():
+    """Guards against an election when a partitioned member returns.
 
-    It hears no leader for a long time and asks for pre-votes that nobody hears. Its
-    term stays, so its messages depose nobody when the cut ends.
+    It has no leader contact for 20 s, and its pre-vote requests are lost. Its term must
+    not rise, so that its messages don't depose the leader after the partition.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.cut("c")
     group.run(20.0, step=0.05)
@@ -142,11 +144,11 @@
     assert {node.term for node in group.nodes.values()} == {term}
 
 
-def test_members_that_start_together_elect_a_leader_sooner():
-    """Callers wait for a leader after a loss of power that nobody could have led.
+def test_members_started_together_use_the_first_election_timeout():
+    """Guards against a full election timeout after a simultaneous start.
 
-    All members start at the same moment. None of them can have missed a leader's
-    heartbeat, so there is no reason to wait a whole election timeout for one.
+    All members start at the same time, as after a power failure. No leader can exist,
+    so the shorter first election timeout applies and callers wait less.
     """
     settings = attrs.evolve(SETTINGS, election_ms=500, first_election_ms=100)
     group = Group("a", "b", "c", settings=settings)
@@ -154,11 +156,11 @@
     assert group.leader()
 
 
-def test_member_that_restarts_deposes_no_leader_by_its_short_first_wait():
-    """Callers see no pause when one member restarts while another leads.
+def test_restarted_member_with_a_short_first_timeout_deposes_no_leader():
+    """Guards against an election when one member restarts while another leads.
 
-    It runs out of patience before it hears the leader, and asks for pre-votes. The
-    others hear the leader and refuse.
+    Its short first timeout expires before it gets a heartbeat, and it requests
+    pre-votes. The others have leader contact and refuse.
     """
     settings = attrs.evolve(SETTINGS, election_ms=500, first_election_ms=20)
     group = Group("a", "b", "c", settings=settings)
@@ -175,13 +177,13 @@
     assert group.nodes[leader].term == term
 
 
-def test_leader_that_hears_nobody_steps_down():
-    """A caller of a leader on the far side of a partition gets no stale answer.
+def test_partitioned_leader_steps_down_and_drops_reads():
+    """Guards against a stale read from a leader that is partitioned from the quorum.
 
-    The leader's read waits for a quorum's round. It hears none within an election
-    timeout, steps down and drops the read; the others have a leader of their own.
+    Its read waits for a heartbeat round of a quorum. Without replies for an election
+    timeout it steps down and drops the read; the others elect another leader.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.cut("a")
     group.take("a", group.nodes["a"].read(1, group.now))
     group.run(0.35)
@@ -189,16 +191,16 @@
     assert group.reads == {1: None}
     group.run(2.0)
     assert group.leader() in ("b", "c")
-    assert kind_of(group.propose, "a", b"x") is ErrorKind.NO_QUORUM
+    assert raised_kind(group.propose, "a", b"x") is ErrorKind.NO_QUORUM
 
 
-def test_leader_that_stood_still_goes_on_if_nobody_took_over():
-    """A caller waits for a slow sync, not for an election on top of it.
+def test_leader_continues_after_a_stall_without_another_election():
+    """Guards against a needless election after a slow sync.
 
-    The leader's disk holds its thread for longer than an election timeout, and no
-    other has elected yet. Its own silence must not count as theirs.
+    A sync stalls the leader for longer than an election timeout, and no other leader
+    was elected. Replies missing because of its own pause must not make it step down.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.tick("a", 0.32)
     group.run(1.0)
@@ -206,13 +208,13 @@
     assert group.nodes["a"].term == term
 
 
-def test_leader_that_is_heard_but_hears_nobody_is_replaced():
-    """A one-way cut: the leader's heartbeats arrive, no answer comes back.
+def test_leader_that_receives_no_replies_is_replaced():
+    """Guards against a group that commits nothing after a one-way network failure.
 
-    Heartbeats alone would keep the others from electing while nothing commits. The
-    leader hears no quorum, steps down, and another takes over.
+    The leader's heartbeats arrive, which keeps the others from an election, but their
+    replies are lost. The leader steps down without a quorum, and another is elected.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.blocked = {("b", "a"), ("c", "a")}
     group.run(3.0)
     assert group.leader() in ("b", "c")
@@ -221,13 +223,14 @@
     assert group.nodes[group.leader()].commit >= index
 
 
-def test_follower_that_does_not_hear_the_leader_deposes_nobody():
-    """A one-way cut: the leader doesn't reach one follower, which reaches all.
+def test_follower_without_heartbeats_does_not_depose_the_leader():
+    """Guards against repeated elections after a one-way network failure.
 
-    It asks for votes again and again; the other follower hears the leader and
-    refuses, and so does the leader, so callers see no change of leader.
+    One follower doesn't get the leader's messages, but its own arrive everywhere. It
+    keeps requesting votes; the leader and the other follower refuse, so the leader
+    stays.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     term = group.nodes["a"].term
     group.blocked = {("a", "c")}
     group.run(5.0)
@@ -235,12 +238,13 @@
     assert group.nodes["a"].term == term
 
 
-def test_entry_of_an_earlier_term_is_not_committed_by_counting():
-    """The case of figure 8 of the Raft paper.
+def test_entry_of_an_earlier_term_is_not_committed_by_counting_replicas():
+    """Guards against the loss of a committed entry, as in figure 8 of the Raft paper.
 
-    Leader a of term 2 leaves an entry on b only; e takes term 3 and keeps an entry to
-    itself; a leads again in term 4 and brings its old entry to a majority. e can
-    still win with its newer last term, so the old entry must not count as committed.
+    Leader a of term 2 replicates an entry to b only; e leads in term 3 and replicates
+    its entry to no other member; a leads again in term 4 and replicates its old entry
+    to a majority. e can still win an election with its newer last term, so the old
+    entry must not be committed yet.
     """
     group = Group("a", "b", "c", "d", "e")
     two, three = Entry(1, 2), Entry(1, 3)
@@ -256,17 +260,17 @@
     for _ in range(100):
         if group.disks["c"].entries == [two]:
             break
-        message = group.wire.pop(0)
+        message = group.in_flight.pop(0)
         last = message.entries[-1:] if isinstance(message, Append) else ()
         if last and last[0].term == 4:
-            # The own entry of term 4 gets lost; the old one arrives everywhere.
+            # The new entry of term 4 is lost; the old one arrives everywhere.
             message = attrs.evolve(message, entries=message.entries[:-1])
         group.deliver(message)
-    for message in [m for m in group.wire if isinstance(m, AppendReply)]:
+    for message in [m for m in group.in_flight if isinstance(m, AppendReply)]:
         group.deliver(message)
     assert group.nodes["a"].role is Role.LEADER
     assert group.nodes["a"].commit == 0
-    group.wire.clear()
+    group.in_flight.clear()
     group.heal()
     group.cut("a", "b")
     group.crash("a")
@@ -277,13 +281,14 @@
     assert group.committed_by_index[1] == three
 
 
-def test_leader_counts_its_own_log_only_once_it_is_synced():
-    """A group of one voter and a learner; a change waits for the voter's sync.
+def test_leader_counts_its_own_entries_only_after_their_sync():
+    """Guards against the commit of an entry that the leader hasn't synced.
 
-    The learner answers a heartbeat meanwhile. Counting the unsynced entry would
-    confirm a change to its caller that a crash still takes away.
+    In a group of one voter and a learner, a change waits for the voter's sync, and the
+    learner replies to a heartbeat meanwhile. If the unsynced entry counted, a confirmed
+    change could be lost in a crash.
     """
-    group = led("a")
+    group = group_led_by_first("a")
     group.join("d")
     group.change("a", "add", "d")
     group.run(0.1)
@@ -295,9 +300,12 @@
     assert node.commit == index
 
 
-def test_member_that_does_not_answer_gets_few_snapshot_pieces():
-    """A lost member needs a snapshot; a full piece a heartbeat would fill the link."""
-    group = led("a", "b", "c")
+def test_unresponsive_member_gets_few_snapshot_chunks():
+    """Guards against a saturated link to a lost member that needs a snapshot.
+
+    A full chunk with every heartbeat would saturate it.
+    """
+    group = group_led_by_first("a", "b", "c")
     group.cut("c")
     for number in range(10):
         group.propose("a", b"%d" % number)
@@ -305,8 +313,8 @@
     group.compact("a")
     group.heal()
     group.tick("a", 0.1)
-    while not isinstance(group.wire[-1], InstallSnapshot):
-        group.deliver(group.wire.pop(0))
+    while not isinstance(group.in_flight[-1], InstallSnapshot):
+        group.deliver(group.in_flight.pop(0))
     group.log = []
     group.crash("c")
     group.run(3.0)
@@ -319,13 +327,13 @@
 # Membership.
 
 
-def test_second_member_lost_right_after_a_repair():
-    """Callers are served when a VM is replaced and another is lost at once.
+def test_group_commits_after_a_replacement_and_a_second_loss():
+    """Guards against an outage when another VM is lost right after a replacement.
 
-    The new member gets its vote only when it has caught up, so that with it and the
-    leader a quorum answers as soon as the second member is gone.
+    The new member may vote only once it has caught up, so that it and the leader form a
+    working quorum as soon as the second member is lost.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.crash("c")
     group.change("a", "remove", "c")
     group.settle()
@@ -336,7 +344,7 @@
     group.blocked = {("a", "d")}
     group.change("a", "add", "d")
     group.settle()
-    assert kind_of(group.change, "a", "promote", "d") is ErrorKind.MEMBERSHIP_BUSY
+    assert raised_kind(group.change, "a", "promote", "d") is ErrorKind.MEMBERSHIP_BUSY
     group.heal()
     group.run(0.1)
     assert group.nodes["d"].role is Role.LEARNER
@@ -350,43 +358,44 @@
     assert group.leader() == "a"
 
 
-def test_membership_changes_one_at_a_time_and_only_sensibly():
+def test_invalid_or_concurrent_membership_change_is_refused():
     group = Group("a", "b", "c")
     group.elect("a")
     change = group.change
-    group.wire.clear()
-    assert kind_of(change, "b", "remove", "c") is ErrorKind.NO_QUORUM
+    group.in_flight.clear()
+    assert raised_kind(change, "b", "remove", "c") is ErrorKind.NO_QUORUM
     group.run(0.1)
-    assert kind_of(change, "a", "add", "b") is ErrorKind.ALREADY_EXISTS
-    assert kind_of(change, "a", "promote", "x") is ErrorKind.NOT_FOUND
-    assert kind_of(change, "a", "remove", "x") is ErrorKind.NOT_FOUND
-    assert kind_of(change, "a", "rename", "b") is ErrorKind.INVALID_RESOURCE
+    assert raised_kind(change, "a", "add", "b") is ErrorKind.ALREADY_EXISTS
+    assert raised_kind(change, "a", "promote", "x") is ErrorKind.NOT_FOUND
+    assert raised_kind(change, "a", "remove", "x") is ErrorKind.NOT_FOUND
+    assert raised_kind(change, "a", "rename", "b") is ErrorKind.INVALID_RESOURCE
     change("a", "add", "d")
-    assert kind_of(change, "a", "remove", "b") is ErrorKind.MEMBERSHIP_BUSY
+    assert raised_kind(change, "a", "remove", "b") is ErrorKind.MEMBERSHIP_BUSY
     group.settle()
     change("a", "remove", "b")
     group.settle()
     assert group.nodes["a"].membership.voters == ["a", "c"]
 
 
-def test_new_leader_changes_no_membership_before_its_first_commit():
-    """Two leaders without a common voter, if a change of an older term is still open.
+def test_new_leader_refuses_membership_changes_before_its_first_commit():
+    """Guards against two leaders after overlapping membership changes.
 
-    The leader of a new term doesn't know whether the change that an earlier leader
-    began has a majority somewhere; its own committed entry settles that.
+    A new leader doesn't know whether a membership change of an earlier term is on a
+    majority, and a second change could lead to majorities without a common voter. The
+    first committed entry of its own term decides that.
     """
     group = Group("a", "b", "c")
     group.now += 1.0
     group.tick("a")
     while group.nodes["a"].role is not Role.LEADER:
-        group.deliver(group.wire.pop(0))
-    assert kind_of(group.change, "a", "remove", "c") is ErrorKind.MEMBERSHIP_BUSY
+        group.deliver(group.in_flight.pop(0))
+    assert raised_kind(group.change, "a", "remove", "c") is ErrorKind.MEMBERSHIP_BUSY
     group.settle()
     group.change("a", "remove", "c")
 
 
 def test_uncommitted_membership_is_rolled_back_with_its_entry():
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.cut("a")
     group.change("a", "remove", "b")
     assert group.nodes["a"].membership.voters == ["a", "c"]
@@ -397,56 +406,57 @@
 
 
 def test_removed_member_does_not_campaign():
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.change("a", "remove", "c")
     group.settle()
     group.cut("c")
     group.run(5.0, step=0.05)
     assert group.nodes["c"].term == group.nodes["a"].term
-    assert not any(isinstance(m, PreVote | Vote) for m in group.wire)
+    assert not any(isinstance(m, PreVote | Vote) for m in group.in_flight)
 
 
 # Reads.
 
 
 def test_read_waits_for_the_first_commit_of_the_term():
-    """A new leader may not know yet that an older leader's entry is committed.
+    """Guards against a read at a new leader that misses an acknowledged change.
 
-    A read confirmed at its own commit index would miss an acknowledged change; it
-    waits until the leader's first entry, which comes after that change, is committed.
+    The new leader may not know yet that an entry of an earlier leader is committed, so
+    its commit index may be too low. The read waits until the first entry of its own
+    term, which follows that change, is committed.
     """
-    group = led("a", "b", "c")
+    group = group_led_by_first("a", "b", "c")
     group.blocked = {("a", "c"), ("b", "a")}
     index = group.propose("a", b"acknowledged")
     group.settle()
     group.blocked.clear()
     group.tick("a", 0.1)
     while group.nodes["a"].commit < index:
-        group.deliver(group.wire.pop(0))
-    group.wire.clear()
+        group.deliver(group.in_flight.pop(0))
+    group.in_flight.clear()
     group.cut("a")
     group.now += 1.0
     group.tick("b")
     while group.nodes["b"].role is not Role.LEADER:
-        group.deliver(group.wire.pop(0))
+        group.deliver(group.in_flight.pop(0))
     group.take("b", group.nodes["b"].read(5, group.now))
     assert group.reads == {}
     group.run(0.1)
     assert group.reads[5] >= index
 
 
-def test_index_taken_by_another_term_answers_unconfirmed():
+def test_proposal_replaced_at_its_index_is_unconfirmed():
     class Future:
         def set_exception(self, error):
             self.kind = error.kind
 
-    waiting, future = Waiting(), Future()
-    waiting.add_entry(3, 1, future)
-    waiting.finish_entry(Entry(3, 2), "another's outcome")
+    waiting, future = PendingRequests(), Future()
+    waiting.add_proposal(3, 1, future)
+    waiting.complete_proposal(Entry(3, 2), "outcome of another entry")
     assert future.kind is ErrorKind.CHANGE_UNCONFIRMED
 
 
-# The wire.
+# Wire format.
 
 MESSAGES = [
     PreVote("a", "b", 3, 7, 2),
@@ -461,17 +471,17 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_messages_come_back_from_the_wire(message):
+def test_messages_survive_a_wire_round_trip(message):
     assert _raft_wire.from_wire(_raft_wire.to_wire(message)) == message
 
 
-def test_unknown_message_is_refused():
-    wire = _raft_wire.to_wire(MESSAGES[0])
-    wire.kind = "Shutdown"
-    assert kind_of(_raft_wire.from_wire, wire) is ErrorKind.MALFORMED_REQUEST
+def test_unknown_message_kind_is_refused():
+    in_flight = _raft_wire.to_wire(MESSAGES[0])
+    in_flight.kind = "Shutdown"
+    assert raised_kind(_raft_wire.from_wire, in_flight) is ErrorKind.MALFORMED_REQUEST
 
 
-def test_member_without_membership_waits_to_be_added():
+def test_member_without_membership_starts_no_election():
     group = Group("a")
     group.join("n")
     assert group.nodes["n"].membership == Membership(())
@@ -479,4 +489,4 @@
     group.now += 100.0
     group.tick("n")
     assert group.nodes["n"].role is Role.LEARNER
-    assert group.wire == []
+    assert group.in_flight == []
