--- a/tamarackhaven/_settings.py
+++ b/tamarackhaven/_settings.py
@@ -1,7 +1,7 @@
-"""The settings of every part, each an ``attrs`` class that checks its own values.
+"""Settings classes, each of which validates its own values.
 
-``_settings_file`` reads them from TOML. Each class is passed whole to the part it is
-for. Times are in the unit that ends the name.
+``_settings_file`` reads them from TOML. Each component gets its settings class as a
+whole. The suffix of a name, such as ``_ms``, is its unit.
 """
 
 import attrs
@@ -11,14 +11,14 @@
 
 
 def _whole(default, low, high):
-    """Return a field for a whole number from ``low`` to ``high``."""
+    """Return an ``attrs`` field for an integer from ``low`` to ``high``."""
     return attrs.field(
         default=default, validator=[_not_bool, instance_of(int), ge(low), le(high)]
     )
 
 
 def _number(default, low, high):
-    """Return a field for a number from ``low`` to ``high``."""
+    """Return an ``attrs`` field for an integer or float from ``low`` to ``high``."""
     return attrs.field(
         default=default,
         validator=[_not_bool, instance_of((int, float)), ge(low), le(high)],
@@ -26,12 +26,12 @@
 
 
 def _text(default=attrs.NOTHING):
-    """Return a field for a non-empty text."""
+    """Return an ``attrs`` field for a non-empty string."""
     return attrs.field(default=default, validator=and_(instance_of(str), min_len(1)))
 
 
 def _not_bool(instance, attribute, value):
-    """Refuse true and false where a number is wanted; bool is an int in Python."""
+    """Reject true and false for a number; ``bool`` is a subclass of ``int``."""
     if isinstance(value, bool):
         raise TypeError(f"{attribute.name} must be a number")
 
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Listen:
-    """Where a process listens; port 0 takes any free one."""
+    """Address that a process listens on; port 0 selects any free port."""
 
     host: str = _text()
     port: int = _port()
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class ControlMember:
-    """One control VM: its name, its TCP port for calls, its UDP port for leases."""
+    """Name and address of a control VM: TCP port for calls, UDP port for leases."""
 
     name: str = _text()
     host: str = _text()
@@ -60,20 +60,20 @@
 
 @attrs.frozen
 class LeaseSettings:
-    """Quorum leases; the same on all control VMs and daemons.
+    """Timing of quorum leases; must be equal on all control VMs and daemons.
 
     Parameters
     ----------
     lease_ms : int
-        How long a renewal holds, from the moment the daemon sent it.
+        Validity of a renewal, counted from the moment the daemon sent it.
     renew_ms : int
-        Time between renewals; a third of the lease or less, so that one lost
-        datagram costs no lease.
+        Time between renewals; at most a third of ``lease_ms``, so that one lost
+        datagram doesn't end the lease.
     drift : float
-        Largest difference of two clocks' rates that is tolerated, as a part of 1.
+        Maximum tolerated difference between the rates of two clocks, as a fraction.
     zone_grace_ms : int
-        How long a target goes on after its availability zone was taken out, so that
-        its shards can leave in steps.
+        How long a target keeps serving after its availability zone was taken out,
+        so that its shards can be moved in batches.
     """
 
     lease_ms: int = _whole(550, 50, 10_000)
@@ -84,20 +84,24 @@
 
 @attrs.frozen
 class RaftSettings:
-    """Timings and sizes of the consensus group.
+    """Timeouts and size limits of the Raft group.
 
     Parameters
     ----------
-    heartbeat_ms, election_ms : int
-        An election starts after ``election_ms`` to twice that without a leader.
+    heartbeat_ms : int
+        Time between two heartbeats of the leader.
+    election_ms : int
+        Minimum election timeout. A member that receives nothing from a leader for a
+        time between this and twice this starts an election.
     first_election_ms : int
-        The same for a member that has just started; 0 for no difference.
+        Minimum election timeout of a member that has just started; 0 uses
+        ``election_ms``.
     batch_entries : int
-        Most entries in one message.
+        Maximum number of log entries in one message.
     snapshot_entries : int
-        Log length at which a snapshot replaces the log.
+        Log length, in entries, at which the log is compacted into a snapshot.
     chunk_bytes : int
-        Size of one piece of a snapshot on the way to a member.
+        Size of the chunks in which a snapshot is sent to a member.
     """
 
     heartbeat_ms: int = _whole(50, 5, 5_000)
@@ -110,25 +114,25 @@
 
 @attrs.frozen
 class GateSettings:
-    """The gate of one target.
+    """Admission control for one target.
 
     Parameters
     ----------
     max_connections : int
-        Hard bound on connections to the target.
+        Maximum number of connections to the target.
     queue_requests : int
-        Most requests that wait at once: a memory bound. With 64, a dozen slots and
-        work of 67 ms a request was refused that would have started in 0.4 s.
+        Maximum queue length, which bounds memory. With 64, a dozen slots and 67 ms of
+        work per request, requests were refused that would have started in 0.4 s.
     queue_ms : int
-        Longest wait, in milliseconds; a deadline or the pace of the queue makes it
-        shorter.
+        Maximum wait, in milliseconds; a request's deadline or the throughput of the
+        queue can shorten it.
     cold_requests : int
-        Concurrency of a target that has just started.
+        Maximum number of concurrent requests to a target that has just started.
     cold_s : float
-        Time from cold to warm under load, in seconds.
+        Time that a target needs under load to warm up, in seconds.
     key_share, caller_share : float
-        Largest part of the queue and slots for one key, and for one caller, while
-        others wait.
+        Maximum fraction of the queue and the slots for one key, and for one caller,
+        while requests of others wait.
     """
 
     max_connections: int = _whole(130, 1, 10_000)
@@ -142,14 +146,15 @@
 
 @attrs.frozen
 class BookingSettings:
-    """The ledger of bookings.
+    """Limits of the ledger, which records bookings for deduplication.
 
     Parameters
     ----------
     ledger_entries : int
-        Most bookings remembered; more are refused, never forgotten early.
+        Maximum number of recorded bookings. When the ledger is full, new bookings are
+        refused; none is dropped before its time.
     caller_clock_margin_s : float
-        How far a caller's clock may be off.
+        Maximum tolerated error of a caller's clock, in seconds.
     """
 
     ledger_entries: int = _whole(20_000, 16, 10_000_000)
@@ -158,22 +163,23 @@
 
 @attrs.frozen
 class PlacementSettings:
-    """How the leader places shards.
+    """How the leader assigns shards to targets.
 
     Parameters
     ----------
     tick_ms : int
-        Time between two steps of the leader. Well below the lease, so that noticing
-        a silent target adds little to the time without an owner; a step looks at
-        members, and at shards only after a change.
+        Time between two placement steps. Well below the lease, so that detecting a
+        silent target adds little to the time that its shards have no owner. A step
+        checks the members, and the shards only after a change.
     imbalance : float
-        Excess over the mean load, as a part of 1, that is left alone.
+        Excess over the mean load, as a fraction of it, up to which no shard is moved.
     pin_share, unpin_share : float
-        A key is pinned above the one and unpinned below the other.
+        A key is pinned above ``pin_share`` and unpinned below ``unpin_share``, both
+        fractions of the load.
     pin_rate : float
-        Fewest requests a second of a key that is pinned.
+        Minimum rate of a key to be pinned, in requests per second.
     pin_hold_s : float
-        Shortest life of a pin, in seconds.
+        Minimum lifetime of a pin, in seconds.
     """
 
     tick_ms: int = _whole(20, 10, 10_000)
@@ -186,7 +192,15 @@
 
 @attrs.frozen
 class LogSettings:
-    """Logs: a file below the data folder, or standard error if empty."""
+    """Where logs are written and how often a sentence may repeat.
+
+    Parameters
+    ----------
+    file : str
+        Path below the data folder; empty for standard error.
+    repeats_per_minute : int
+        Maximum number of lines with the same sentence in a minute.
+    """
 
     file: str = attrs.field(default="", validator=instance_of(str))
     repeats_per_minute: int = _whole(60, 1, 100_000)
@@ -194,22 +208,22 @@
 
 @attrs.frozen
 class DaemonSettings:
-    """A daemon beside a target.
+    """A daemon that runs next to a target.
 
     Parameters
     ----------
     caller, peer, announce, metrics : Listen
-        Ports for callers, for other daemons, for the target, and for scrapers.
+        Addresses to listen on for callers, other daemons, the target, and scrapers.
     target_address : Listen
-        Where the target takes requests. An announcement of another address is refused;
-        port 0 leaves the port to the announcement.
+        Where the target accepts requests. An announcement of another address is
+        refused; port 0 accepts any announced port.
     forward_wait_ms : int
-        Longest time a request waits for a key on the move.
+        Maximum time that a request waits for a key that is being moved.
     stale_s : float
-        State unconfirmed for longer is not acted on.
+        State that was not confirmed for longer than this, in seconds, is not used.
     target_silent_s : float
         A target with requests in flight that neither reports nor answers for longer
-        is given up; 0 for never.
+        than this, in seconds, is considered failed; 0 disables the check.
     """
 
     service: str = _text()
@@ -225,10 +239,11 @@
         validator=deep_iterable(instance_of(ControlMember), and_(min_len(1)))
     )
     capacity: int = _whole(1, 1, 1_000)
-    # Load: callers wait in the gate's queue, each on a thread. Harm: with fewer threads
-    # than slots and some waiting the line forms before the gate, where nobody looks at
-    # deadlines, fair shares or Retry-After. Limit: a dozen slots and 64 that wait, on
-    # each of two ports; that many keep a daemon below its 64 MB under load.
+    # Each caller in the gate's queue occupies a thread. With fewer threads than slots
+    # and queued requests, requests queue up before the gate, where deadlines, fair
+    # shares and Retry-After are not applied. On each of two ports, 80 threads suffice
+    # for a dozen slots and 64 queued requests, and keep a daemon below its 64 MB under
+    # load.
     threads: int = _whole(80, 1, 512)
     forward_wait_ms: int = _whole(300, 0, 60_000)
     stale_s: float = _number(3.0, 0.1, 60.0)
@@ -242,18 +257,18 @@
 
 @attrs.frozen
 class ControlSettings:
-    """A control VM.
+    """Settings of a control VM.
 
     Parameters
     ----------
     name : str
-        Its name among ``members``.
+        Name of this control VM; must be among ``members``.
     members : list of ControlMember
-        The group at its first start, this one included. Afterwards the replicated
-        log says who is a member.
+        Members of the group at its first start, including this one. Afterwards the
+        replicated log defines the members.
     join : bool
-        True for a member that is added to a running group: it starts as a learner
-        with an empty folder.
+        True for a member that is added to a running group. It starts as a learner with
+        an empty data folder.
     """
 
     name: str = _text()
@@ -272,12 +287,12 @@
 
 @attrs.frozen
 class OperatorSettings:
-    """The operators' commands: which control VMs to ask.
+    """Settings of the operator commands: the control VMs and the timeout.
 
     Parameters
     ----------
     data_folder : str
-        Where the program unpacks itself.
+        Folder into which the program unpacks itself.
     """
 
     data_folder: str = _text()
--- a/tamarackhaven/errors.py
+++ b/tamarackhaven/errors.py
@@ -1,6 +1,6 @@
-"""The closed list of error kinds, and the one table from kind to answer.
+"""All error kinds, and the table that maps each kind to its answer.
 
-Nothing reaches a caller or an operator outside ``ANSWER_BY_KIND``.
+Callers and operators get no error that isn't in ``ANSWER_BY_KIND``.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class Ran(enum.Enum):
-    """Whether a request ran at its target."""
+    """Whether the target executed a request."""
 
     NO = "no"
     YES = "yes"
@@ -17,17 +17,17 @@
 
 
 class Repeat(enum.Enum):
-    """What a caller may do after an error."""
+    """Whether and how a caller may retry after an error."""
 
-    NEVER = "never"  # the same request fails the same way again
-    LATER = "later"  # safe to repeat after Retry-After
-    SAME_KEY = "same-key"  # repeat only with the same idempotency key
+    NEVER = "never"  # the same request would fail the same way again
+    LATER = "later"  # safe to retry after Retry-After
+    SAME_KEY = "same-key"  # retry only with the same idempotency key
 
 
 class ErrorKind(enum.Enum):
-    """Every error this program answers with; the value is the public code."""
+    """Every error that this program reports; the value is its public code."""
 
-    # A caller's request.
+    # Invalid or abandoned requests.
     MISSING_KEY = "TH101"
     BAD_HEADER = "TH102"
     DUPLICATE_HEADER = "TH103"
@@ -40,7 +40,7 @@
     MISSING_IDEMPOTENCY_KEY = "TH110"
     CALLER_GONE = "TH111"
     MALFORMED_REQUEST = "TH112"
-    # Where a request goes.
+    # Ownership and forwarding.
     NO_OWNER = "TH201"
     NOT_OWNER = "TH202"
     FORWARD_LOOP = "TH203"
@@ -49,7 +49,7 @@
     LEASE_LOST = "TH206"
     STATE_STALE = "TH207"
     MOVING = "TH208"
-    # What the gate decides.
+    # Admission by the gate, and its limits.
     QUEUE_FULL = "TH301"
     QUEUE_TIMEOUT = "TH302"
     TARGET_COLD = "TH303"
@@ -59,7 +59,7 @@
     ZONE_OUT = "TH307"
     CONNECTIONS_FULL = "TH308"
     BODIES_FULL = "TH309"
-    # What the target did.
+    # Failures of the target and of its answers.
     TARGET_UNREACHABLE = "TH401"
     TARGET_REFUSED = "TH402"
     TARGET_SENT_NOTHING = "TH403"
@@ -95,7 +95,7 @@
     CONTROL_UNREACHABLE = "TH615"
     MEMBERSHIP_BUSY = "TH616"
     CONTROL_BUSY = "TH617"
-    # A process and its files.
+    # Command line, settings, ports and the data folder.
     USAGE = "TH701"
     SETTINGS_MISSING = "TH702"
     SETTINGS_SYNTAX = "TH703"
@@ -114,20 +114,20 @@
 
 @attrs.frozen
 class Answer:
-    """What a caller and an operator get for one kind.
+    """The HTTP status, exit code, retry advice and sentence of one error kind.
 
     Parameters
     ----------
     http_status : int
         Status of the HTTP answer.
     exit_code : int
-        Exit code of an operators' command, 1 to 125.
+        Exit code of a command, 1 to 125.
     ran : Ran
-        Whether the request ran, as far as this program can know.
+        Whether the target executed the request, as far as this program can know.
     repeat : Repeat
-        Whether and how the request may be repeated.
+        Whether and how the request may be retried.
     sentence : str
-        One sentence for people.
+        Human-readable description, one sentence.
     """
 
     http_status: int
@@ -312,16 +312,17 @@
 
 
 class TamarackhavenError(Exception):
-    """An error with a code of the closed list.
+    """An error of one ``ErrorKind``, with a human-readable detail.
 
     Parameters
     ----------
     kind : ErrorKind
-        The kind; its answer stands in ``ANSWER_BY_KIND``.
+        Selects the answer in ``ANSWER_BY_KIND``.
     detail : str
-        What exactly was wrong, for people; names the file, key or value.
+        What exactly was wrong, naming the file, key or value.
     retry_after_s : float
-        When a caller may come back, in seconds; 0 when the kind says never.
+        Time after which a caller may retry, in seconds; 0 if the kind rules out a
+        retry.
     """
 
     def __init__(self, kind, detail="", retry_after_s=0.0):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the closed list of error kinds."""
+"""Every error kind has a valid answer, and errors print their code and detail."""
 
 import pytest
 
