--- a/tamarackhaven/_settings.py
+++ b/tamarackhaven/_settings.py
@@ -7,55 +7,55 @@
 import attrs
 from attrs.validators import and_, deep_iterable, ge, instance_of, le, min_len
 
-PORT_MAX = 65535
+MAX_PORT = 65535
 
 
-def _whole(default, low, high):
+def _int_field(default, low, high):
     """Return an ``attrs`` field for an integer from ``low`` to ``high``."""
     return attrs.field(
-        default=default, validator=[_not_bool, instance_of(int), ge(low), le(high)]
+        default=default, validator=[_reject_bool, instance_of(int), ge(low), le(high)]
     )
 
 
-def _number(default, low, high):
+def _number_field(default, low, high):
     """Return an ``attrs`` field for an integer or float from ``low`` to ``high``."""
     return attrs.field(
         default=default,
-        validator=[_not_bool, instance_of((int, float)), ge(low), le(high)],
+        validator=[_reject_bool, instance_of((int, float)), ge(low), le(high)],
     )
 
 
-def _text(default=attrs.NOTHING):
+def _str_field(default=attrs.NOTHING):
     """Return an ``attrs`` field for a non-empty string."""
     return attrs.field(default=default, validator=and_(instance_of(str), min_len(1)))
 
 
-def _not_bool(instance, attribute, value):
+def _reject_bool(instance, attribute, value):
     """Reject true and false for a number; ``bool`` is a subclass of ``int``."""
     if isinstance(value, bool):
         raise TypeError(f"{attribute.name} must be a number")
 
 
-def _port():
-    return _whole(attrs.NOTHING, 0, PORT_MAX)
+def _port_field():
+    return _int_field(attrs.NOTHING, 0, MAX_PORT)
 
 
 @attrs.frozen
 class Listen:
     """Address that a process listens on; port 0 selects any free port."""
 
-    host: str = _text()
-    port: int = _port()
+    host: str = _str_field()
+    port: int = _port_field()
 
 
 @attrs.frozen
 class ControlMember:
     """Name and address of a control VM: TCP port for calls, UDP port for leases."""
 
-    name: str = _text()
-    host: str = _text()
-    port: int = _port()
-    lease_port: int = _port()
+    name: str = _str_field()
+    host: str = _str_field()
+    port: int = _port_field()
+    lease_port: int = _port_field()
 
 
 @attrs.frozen
@@ -76,10 +76,10 @@
         so that its shards can be moved in batches.
     """
 
-    lease_ms: int = _whole(550, 50, 10_000)
-    renew_ms: int = _whole(180, 10, 2_000)
-    drift: float = _number(0.01, 0.0, 0.2)
-    zone_grace_ms: int = _whole(2000, 0, 60_000)
+    lease_ms: int = _int_field(550, 50, 10_000)
+    renew_ms: int = _int_field(180, 10, 2_000)
+    drift: float = _number_field(0.01, 0.0, 0.2)
+    zone_grace_ms: int = _int_field(2000, 0, 60_000)
 
 
 @attrs.frozen
@@ -104,12 +104,12 @@
         Size of the chunks in which a snapshot is sent to a member.
     """
 
-    heartbeat_ms: int = _whole(50, 5, 5_000)
-    election_ms: int = _whole(300, 50, 30_000)
-    first_election_ms: int = _whole(0, 0, 30_000)
-    batch_entries: int = _whole(256, 1, 10_000)
-    snapshot_entries: int = _whole(4096, 16, 1_000_000)
-    chunk_bytes: int = _whole(256 * 1024, 1024, 4 * 1024 * 1024)
+    heartbeat_ms: int = _int_field(50, 5, 5_000)
+    election_ms: int = _int_field(300, 50, 30_000)
+    first_election_ms: int = _int_field(0, 0, 30_000)
+    batch_entries: int = _int_field(256, 1, 10_000)
+    snapshot_entries: int = _int_field(4096, 16, 1_000_000)
+    chunk_bytes: int = _int_field(256 * 1024, 1024, 4 * 1024 * 1024)
 
 
 @attrs.frozen
@@ -135,13 +135,13 @@
         while requests of others wait.
     """
 
-    max_connections: int = _whole(130, 1, 10_000)
-    queue_requests: int = _whole(256, 0, 100_000)
-    queue_ms: int = _whole(2000, 0, 60_000)
-    cold_requests: int = _whole(1, 1, 1_000)
-    cold_s: float = _number(10.0, 0.0, 3600.0)
-    key_share: float = _number(0.5, 0.01, 1.0)
-    caller_share: float = _number(0.5, 0.01, 1.0)
+    max_connections: int = _int_field(130, 1, 10_000)
+    queue_requests: int = _int_field(256, 0, 100_000)
+    queue_ms: int = _int_field(2000, 0, 60_000)
+    cold_requests: int = _int_field(1, 1, 1_000)
+    cold_s: float = _number_field(10.0, 0.0, 3600.0)
+    key_share: float = _number_field(0.5, 0.01, 1.0)
+    caller_share: float = _number_field(0.5, 0.01, 1.0)
 
 
 @attrs.frozen
@@ -157,8 +157,8 @@
         Maximum tolerated error of a caller's clock, in seconds.
     """
 
-    ledger_entries: int = _whole(20_000, 16, 10_000_000)
-    caller_clock_margin_s: float = _number(2.0, 0.0, 60.0)
+    ledger_entries: int = _int_field(20_000, 16, 10_000_000)
+    caller_clock_margin_s: float = _number_field(2.0, 0.0, 60.0)
 
 
 @attrs.frozen
@@ -182,12 +182,12 @@
         Minimum lifetime of a pin, in seconds.
     """
 
-    tick_ms: int = _whole(20, 10, 10_000)
-    imbalance: float = _number(0.1, 0.0, 10.0)
-    pin_share: float = _number(0.05, 0.0, 1.0)
-    unpin_share: float = _number(0.02, 0.0, 1.0)
-    pin_rate: float = _number(50.0, 0.0, 1_000_000.0)
-    pin_hold_s: float = _number(60.0, 0.0, 3600.0)
+    tick_ms: int = _int_field(20, 10, 10_000)
+    imbalance: float = _number_field(0.1, 0.0, 10.0)
+    pin_share: float = _number_field(0.05, 0.0, 1.0)
+    unpin_share: float = _number_field(0.02, 0.0, 1.0)
+    pin_rate: float = _number_field(50.0, 0.0, 1_000_000.0)
+    pin_hold_s: float = _number_field(60.0, 0.0, 3600.0)
 
 
 @attrs.frozen
@@ -203,7 +203,7 @@
     """
 
     file: str = attrs.field(default="", validator=instance_of(str))
-    repeats_per_minute: int = _whole(60, 1, 100_000)
+    repeats_per_minute: int = _int_field(60, 1, 100_000)
 
 
 @attrs.frozen
@@ -226,10 +226,10 @@
         than this, in seconds, is considered failed; 0 disables the check.
     """
 
-    service: str = _text()
-    target: str = _text()
-    zone: str = _text()
-    data_folder: str = _text()
+    service: str = _str_field()
+    target: str = _str_field()
+    zone: str = _str_field()
+    data_folder: str = _str_field()
     caller: Listen = attrs.field(validator=instance_of(Listen))
     peer: Listen = attrs.field(validator=instance_of(Listen))
     announce: Listen = attrs.field(validator=instance_of(Listen))
@@ -238,17 +238,17 @@
     control: list[ControlMember] = attrs.field(
         validator=deep_iterable(instance_of(ControlMember), and_(min_len(1)))
     )
-    capacity: int = _whole(1, 1, 1_000)
+    capacity: int = _int_field(1, 1, 1_000)
     # Each caller in the gate's queue occupies a thread. With fewer threads than slots
     # and queued requests, requests queue up before the gate, where deadlines, fair
     # shares and Retry-After are not applied. On each of two ports, 80 threads suffice
     # for a dozen slots and 64 queued requests, and keep a daemon below its 64 MB under
     # load.
-    threads: int = _whole(80, 1, 512)
-    forward_wait_ms: int = _whole(300, 0, 60_000)
-    stale_s: float = _number(3.0, 0.1, 60.0)
-    drain_s: float = _number(30.0, 0.0, 3600.0)
-    target_silent_s: float = _number(3.0, 0.0, 3600.0)
+    threads: int = _int_field(80, 1, 512)
+    forward_wait_ms: int = _int_field(300, 0, 60_000)
+    stale_s: float = _number_field(3.0, 0.1, 60.0)
+    drain_s: float = _number_field(30.0, 0.0, 3600.0)
+    target_silent_s: float = _number_field(3.0, 0.0, 3600.0)
     lease: LeaseSettings = attrs.field(factory=LeaseSettings)
     gate: GateSettings = attrs.field(factory=GateSettings)
     bookings: BookingSettings = attrs.field(factory=BookingSettings)
@@ -271,9 +271,9 @@
         an empty data folder.
     """
 
-    name: str = _text()
-    zone: str = _text()
-    data_folder: str = _text()
+    name: str = _str_field()
+    zone: str = _str_field()
+    data_folder: str = _str_field()
     metrics: Listen = attrs.field(validator=instance_of(Listen))
     members: list[ControlMember] = attrs.field(
         validator=deep_iterable(instance_of(ControlMember), and_(min_len(1)))
@@ -295,8 +295,8 @@
         Folder into which the program unpacks itself.
     """
 
-    data_folder: str = _text()
+    data_folder: str = _str_field()
     control: list[ControlMember] = attrs.field(
         validator=deep_iterable(instance_of(ControlMember), and_(min_len(1)))
     )
-    timeout_ms: int = _whole(5_000, 100, 600_000)
+    timeout_ms: int = _int_field(5_000, 100, 600_000)
