--- a/tamarackhaven/_eliot_lines.py
+++ b/tamarackhaven/_eliot_lines.py
@@ -1,7 +1,7 @@
-"""Writes log lines by ``eliot``, to a file or to standard error.
+"""Writes log lines with ``eliot``, to a file or to standard error.
 
-Apart from ``_logs``: processes of a fleet write their lines by ``_json_lines``, and a
-daemon's memory is better used than for a library that it doesn't call.
+A separate module from ``_logs``, because processes of a fleet write with
+``_json_lines`` and shouldn't spend memory on a library that they don't use.
 """
 
 import pathlib
@@ -11,24 +11,24 @@
 
 
 def write_line(part, **fields):
-    """Write one line of a part."""
+    """Write one line; ``part`` is the name of the component."""
     eliot.log_message(message_type=f"tamarackhaven:{part}", **fields)
 
 
 def open_logs(settings, data_folder):
-    """Send all lines to the file of the settings, or to standard error.
+    """Direct all lines to the configured file, or to standard error.
 
     Parameters
     ----------
     settings : LogSettings
-        The file's name below the data folder; empty for standard error.
+        Its ``file`` is a path below the data folder; empty for standard error.
     data_folder : str or Path
-        Made if it is not there.
+        Created if it doesn't exist and ``file`` is set.
 
     Returns
     -------
     callable
-        Ends the writing and closes the file.
+        Stops writing and closes the file; takes no arguments.
     """
     file = sys.stderr
     if settings.file:
--- a/tamarackhaven/_json_lines.py
+++ b/tamarackhaven/_json_lines.py
@@ -1,7 +1,7 @@
-"""Log lines on standard output that never hold up the program.
+"""Non-blocking JSON log lines on standard output.
 
-A line is written only when the reader takes it at once. What can't be written waits in
-a bounded buffer; what doesn't fit is dropped and counted in the next line.
+A line is written only if the write doesn't block. Other lines are kept in a bounded
+buffer; lines that don't fit are dropped, and the next line reports how many.
 """
 
 import collections
@@ -11,22 +11,22 @@
 
 import orjson
 
-# A pipe that is writable takes this much without blocking (POSIX, PIPE_BUF).
+# A writable pipe accepts this many bytes without blocking (PIPE_BUF on Linux).
 ATOMIC_BYTES = 4096
-# Load: a reader that has stopped, or a storm of refusals. Harm: lines fill the memory.
-# Limit: about a megabyte of usual lines.
+# Without a limit, a reader that has stopped or a flood of refusals would fill the
+# memory with lines. This many usual lines take about a megabyte.
 MOST_WAITING = 4000
 
 
 class JsonLines:
-    """Writes one JSON object a line to a file descriptor.
+    """Writes JSON objects, one per line, to a file descriptor.
 
     Parameters
     ----------
     descriptor : int
-        Usually 1.
+        File descriptor; 1 is standard output.
     **common
-        Fields that stand in each line.
+        Fields that are added to each line.
     """
 
     def __init__(self, descriptor=1, **common):
@@ -38,7 +38,7 @@
         self.dropped = 0
 
     def write(self, **fields):
-        """Write a line, or keep it until the reader takes it."""
+        """Write a line now if possible, else buffer or drop it."""
         fields["at"] = round(time.time(), 3)
         if self.dropped:
             fields["lines_lost_before"] = self.dropped
@@ -51,12 +51,12 @@
         self.flush()
 
     def flush(self):
-        """Write what waits, as far as the reader takes it."""
+        """Write buffered lines until a write would block."""
         while self._waiting and self._is_writable():
             try:
                 os.write(self._descriptor, self._waiting[0])
             except OSError:
-                # Nobody will ever read it; the program goes on without its log.
+                # The reader has closed the pipe; the program continues without logs.
                 self._waiting.clear()
                 return
             self._waiting.popleft()
--- a/tamarackhaven/_logs.py
+++ b/tamarackhaven/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with the fixed prefix of their part, as JSON lines."""
+"""Structured logging with a fixed prefix per component and a limit on repeats."""
 
 import threading
 
@@ -7,13 +7,13 @@
 from tamarackhaven._clock import boot_s
 
 WINDOW_S = 60.0
-# Sentences are fixed texts in the code; this bounds the table should one not be.
+# Sentences are constants, so there are few; this bounds memory if one is not.
 _MOST_SENTENCES = 1000
 
 
 @attrs.define
 class _Window:
-    """Lines with one sentence since ``start_s``."""
+    """Counts of the lines with one sentence since ``start_s``, in seconds."""
 
     start_s: float
     written: int = 0
@@ -21,18 +21,18 @@
 
 
 class Log:
-    """Writes the lines of one part.
+    """Writes the log lines of one component.
 
     Parameters
     ----------
     prefix : str
-        Name of the part, as ``gate``; each sentence starts with it.
+        Name of the component, such as ``gate``; each sentence starts with it.
     repeats_per_minute : int
-        Most lines with the same sentence in a minute.
+        Maximum number of lines with the same sentence in a minute.
     clock : callable
-        Returns seconds.
+        Returns the time in seconds.
     write : callable
-        Takes the fields of a line as keywords.
+        Called with the fields of a line as keyword arguments.
     """
 
     def __init__(self, prefix, repeats_per_minute=60, clock=boot_s, write=None):
@@ -44,23 +44,24 @@
         self._window_by_sentence = {}
 
     def part(self, prefix):
-        """Return the log of another part, with the same limits."""
+        """Return the log of another component, with the same settings but own counts."""
         return Log(prefix, self._limit, self._clock, self._write)
 
     def say(self, sentence, request_id="", decision_id="", **fields):
-        """Write one line unless its sentence stood too often in this minute.
+        """Write one line, unless its sentence reached the limit for this minute.
 
         Parameters
         ----------
         sentence : str
-            A fixed text; what varies goes into ``fields``.
+            A constant; variable data belongs into ``fields``.
         request_id, decision_id : str
-            On every line about a request.
+            The ids of the request that the line is about; omitted if empty.
         **fields
-            Whatever JSON can hold.
+            Values that can be encoded as JSON.
         """
-        # Under overload each refusal would write a line, and the disk and the lock
-        # would slow the requests that are still served. The count keeps the number.
+        # Under overload each refusal would write a line, and contention for the disk
+        # and the lock would slow the requests that are still served. The next line
+        # reports how many were dropped.
         dropped = self._admit(sentence)
         if dropped is None:
             return
@@ -73,7 +74,7 @@
         self._write(sentence=f"{self.prefix}: {sentence}", part=self.prefix, **fields)
 
     def _admit(self, sentence):
-        """Return how many lines were dropped before this one, None to drop it too."""
+        """Return how many lines were dropped before this one; None if it is dropped."""
         now = self._clock()
         with self._lock:
             window = self._window_by_sentence.get(sentence)
--- a/tamarackhaven/_settings_file.py
+++ b/tamarackhaven/_settings_file.py
@@ -1,4 +1,4 @@
-"""Reads a part's settings from a TOML file and reports all its problems at once."""
+"""Loads settings from a TOML file and reports all problems in it at once."""
 
 import difflib
 import functools
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Problem:
-    """One thing that is wrong in a file; ``key`` is dotted, as ``gate.queue_ms``."""
+    """One invalid setting in a file; ``key`` is dotted, such as ``gate.queue_ms``."""
 
     kind: ErrorKind
     key: str
@@ -37,14 +37,14 @@
 
 
 class SettingsError(TamarackhavenError):
-    """A settings file with one problem or more; the kind is that of the first.
+    """A settings file has at least one problem; the error kind is that of the first.
 
     Parameters
     ----------
     path : str or Path
-        The file.
+        The settings file.
     problems : list of Problem
-        All that is wrong in it.
+        All problems in the file; not empty.
     """
 
     def __init__(self, path, problems):
@@ -54,7 +54,7 @@
 
 
 def load_settings(path, settings_class):
-    """Return the settings in a file.
+    """Return the validated settings in a file.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
 
 @functools.singledispatch
 def cross_problems(settings):
-    """Return the problems of settings that are right one by one, as a list."""
+    """Return the problems between settings that are valid one by one, as a list."""
     return []
 
 
@@ -100,7 +100,7 @@
 
 
 def _lease_problems(lease):
-    """Refuse so few renewals in a lease that one lost datagram could end it."""
+    """Report a renewal interval so long that one lost datagram could end the lease."""
     if lease.renew_ms * RENEWALS_IN_A_LEASE <= lease.lease_ms:
         return []
     text = f"is out of range: it must be a third of lease_ms ({lease.lease_ms}) or less"
@@ -128,7 +128,7 @@
 
 
 def _build(table, settings_class, prefix, problems):
-    """Return an instance, or None after adding to ``problems``."""
+    """Return an instance of ``settings_class``, or None if ``problems`` grew."""
     before = len(problems)
     field_by_name = attrs.fields_dict(attrs.resolve_types(settings_class))
     for name in table:
@@ -156,7 +156,7 @@
 
 
 def _convert(value, wanted, key, problems):
-    """Return the value as the field's type wants it, None after a problem."""
+    """Return the value converted to the field's type, or None if ``problems`` grew."""
     if attrs.has(wanted):
         if isinstance(value, dict):
             return _build(value, wanted, f"{key}.", problems)
@@ -189,10 +189,11 @@
 
 
 def _check(field, value, key, problems):
-    """Run the field's own validator, which knows its range."""
+    """Check the range of a value with the validator of its field."""
     if value is None or field.validator is None or _has_problem(key, problems):
         return
-    # Validators name their field; a stand-in instance is all that they need besides.
+    # Validators take the name from the field and don't use the instance, so an empty
+    # one suffices.
     try:
         field.validator(types.SimpleNamespace(), field, value)
     except (ValueError, TypeError) as error:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: prefix, ids, and the limit on repeated ones."""
+"""Log lines: prefix, ids, and the limit on repeated sentences."""
 
 import json
 
@@ -25,10 +25,10 @@
 
 
 def test_repeated_lines_are_dropped_and_counted():
-    """A target is down and thousands of refusals a second want a line each.
+    """A target is down, and each of thousands of refusals a second logs a line.
 
-    Only the limit's number of lines is written in a minute, other sentences still
-    are, and the next minute's first line says how many are missing.
+    At most the configured number is written per minute, other sentences are not
+    affected, and the first line of the next minute reports how many were dropped.
     """
     now = [0.0]
     lines = []
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files: the examples, and every kind of mistake."""
+"""Settings files: the examples load, and every kind of mistake is reported."""
 
 import pathlib
 import re
@@ -114,7 +114,7 @@
 
 
 def test_too_few_renewals_in_a_lease_are_refused(tmp_path):
-    """One lost datagram would end the lease, and its shards would move for nothing."""
+    """Otherwise one lost datagram ends the lease, and its shards move needlessly."""
     path = tmp_path / "daemon.toml"
     path.write_text(
         (EXAMPLES / "daemon.toml")
