--- a/tamarackhaven/_json_lines.py
+++ b/tamarackhaven/_json_lines.py
@@ -11,11 +11,11 @@
 
 import orjson
 
-# A writable pipe accepts this many bytes without blocking (PIPE_BUF on Linux).
-ATOMIC_BYTES = 4096
+# A writable pipe accepts this many bytes without blocking (POSIX, PIPE_BUF).
+MAX_LINE_BYTES = 4096
 # Without a limit, a reader that has stopped or a flood of refusals would fill the
 # memory with lines. This many usual lines take about a megabyte.
-MOST_WAITING = 4000
+MAX_BUFFERED_LINES = 4000
 
 
 class JsonLines:
@@ -32,7 +32,7 @@
     def __init__(self, descriptor=1, **common):
         self._descriptor = descriptor
         self._common = common
-        self._waiting = collections.deque()
+        self._buffered_lines = collections.deque()
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
         self.dropped = 0
@@ -43,23 +43,26 @@
         if self.dropped:
             fields["lines_lost_before"] = self.dropped
         line = orjson.dumps({**self._common, **fields}, default=str) + b"\n"
-        if len(self._waiting) >= MOST_WAITING or len(line) > ATOMIC_BYTES:
+        if (
+            len(self._buffered_lines) >= MAX_BUFFERED_LINES
+            or len(line) > MAX_LINE_BYTES
+        ):
             self.dropped += 1
             return
         self.dropped = 0
-        self._waiting.append(line)
+        self._buffered_lines.append(line)
         self.flush()
 
     def flush(self):
         """Write buffered lines until a write would block."""
-        while self._waiting and self._is_writable():
+        while self._buffered_lines and self._is_writable():
             try:
-                os.write(self._descriptor, self._waiting[0])
+                os.write(self._descriptor, self._buffered_lines[0])
             except OSError:
-                # The reader has closed the pipe; the program continues without logs.
-                self._waiting.clear()
+                # Nothing reads the log any more; the program continues without it.
+                self._buffered_lines.clear()
                 return
-            self._waiting.popleft()
+            self._buffered_lines.popleft()
 
     def _is_writable(self):
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
--- a/tamarackhaven/_logs.py
+++ b/tamarackhaven/_logs.py
@@ -6,9 +6,9 @@
 
 from tamarackhaven._clock import boot_s
 
-WINDOW_S = 60.0
+REPEAT_WINDOW_S = 60.0
 # Sentences are constants, so there are few; this bounds memory if one is not.
-_MOST_SENTENCES = 1000
+_MAX_SENTENCES = 1000
 
 
 @attrs.define
@@ -37,15 +37,15 @@
 
     def __init__(self, prefix, repeats_per_minute=60, clock=boot_s, write=None):
         self.prefix = prefix
-        self._limit = repeats_per_minute
+        self._repeats_per_minute = repeats_per_minute
         self._clock = clock
         self._write = write or _write_eliot
         self._lock = threading.Lock()
         self._window_by_sentence = {}
 
     def part(self, prefix):
-        """Return the log of another component, with the same settings but own counts."""
-        return Log(prefix, self._limit, self._clock, self._write)
+        """Return the log of another component, with the same limit but its own counts."""
+        return Log(prefix, self._repeats_per_minute, self._clock, self._write)
 
     def say(self, sentence, request_id="", decision_id="", **fields):
         """Write one line, unless its sentence reached the limit for this minute.
@@ -62,7 +62,7 @@
         # Under overload each refusal would write a line, and contention for the disk
         # and the lock would slow the requests that are still served. The next line
         # reports how many were dropped.
-        dropped = self._admit(sentence)
+        dropped = self._count_line(sentence)
         if dropped is None:
             return
         if request_id:
@@ -73,23 +73,23 @@
             fields["dropped_before"] = dropped
         self._write(sentence=f"{self.prefix}: {sentence}", part=self.prefix, **fields)
 
-    def _admit(self, sentence):
+    def _count_line(self, sentence):
         """Return how many lines were dropped before this one; None if it is dropped."""
         now = self._clock()
         with self._lock:
             window = self._window_by_sentence.get(sentence)
-            if window is None or now - window.start_s >= WINDOW_S:
+            if window is None or now - window.start_s >= REPEAT_WINDOW_S:
                 dropped = window.dropped if window else 0
-                self._keep(sentence, _Window(now, written=1))
+                self._start_window(sentence, _Window(now, written=1))
                 return dropped
-            if window.written >= self._limit:
+            if window.written >= self._repeats_per_minute:
                 window.dropped += 1
                 return None
             window.written += 1
             return 0
 
-    def _keep(self, sentence, window):
-        if len(self._window_by_sentence) >= _MOST_SENTENCES:
+    def _start_window(self, sentence, window):
+        if len(self._window_by_sentence) >= _MAX_SENTENCES:
             self._window_by_sentence.clear()
         self._window_by_sentence[sentence] = window
 
--- a/tamarackhaven/_settings.py
+++ b/tamarackhaven/_settings.py
@@ -70,7 +70,8 @@
         Time between renewals; at most a third of ``lease_ms``, so that one lost
         datagram doesn't end the lease.
     drift : float
-        Maximum tolerated difference between the rates of two clocks, as a fraction.
+        Maximum tolerated difference between the rates of two clocks, as a fraction
+        of 1.
     zone_grace_ms : int
         How long a target keeps serving after its availability zone was taken out,
         so that its shards can be moved in batches.
@@ -172,7 +173,8 @@
         silent target adds little to the time that its shards have no owner. A step
         checks the members, and the shards only after a change.
     imbalance : float
-        Excess over the mean load, as a fraction of it, up to which no shard is moved.
+        Excess over the mean load up to which no shard is moved to balance the load,
+        as a fraction of 1.
     pin_share, unpin_share : float
         A key is pinned above ``pin_share`` and unpinned below ``unpin_share``, both
         fractions of the load.
--- a/tamarackhaven/_settings_file.py
+++ b/tamarackhaven/_settings_file.py
@@ -12,9 +12,9 @@
 from tamarackhaven._settings import ControlSettings, DaemonSettings
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-RENEWALS_IN_A_LEASE = 3
+MIN_RENEWALS_PER_LEASE = 3
 
-_NAME_BY_TYPE = {
+_DESCRIPTION_BY_TYPE = {
     str: "a text",
     int: "a whole number",
     float: "a number",
@@ -71,21 +71,21 @@
     """
     table = read_toml(path)
     problems = []
-    settings = _build(table, settings_class, "", problems)
+    settings = _build_settings(table, settings_class, "", problems)
     if not problems:
-        problems = cross_problems(settings)
+        problems = cross_field_problems(settings)
     if problems:
         raise SettingsError(path, problems)
     return settings
 
 
 @functools.singledispatch
-def cross_problems(settings):
+def cross_field_problems(settings):
     """Return the problems between settings that are valid one by one, as a list."""
     return []
 
 
-@cross_problems.register
+@cross_field_problems.register
 def _(settings: ControlSettings):
     problems = _lease_problems(settings.lease)
     if settings.name not in [member.name for member in settings.members]:
@@ -94,14 +94,14 @@
     return problems
 
 
-@cross_problems.register
+@cross_field_problems.register
 def _(settings: DaemonSettings):
     return _lease_problems(settings.lease)
 
 
 def _lease_problems(lease):
     """Report a renewal interval so long that one lost datagram could end the lease."""
-    if lease.renew_ms * RENEWALS_IN_A_LEASE <= lease.lease_ms:
+    if lease.renew_ms * MIN_RENEWALS_PER_LEASE <= lease.lease_ms:
         return []
     text = f"is out of range: it must be a third of lease_ms ({lease.lease_ms}) or less"
     return [Problem(ErrorKind.SETTINGS_OUT_OF_RANGE, "lease.renew_ms", text)]
@@ -127,68 +127,68 @@
         ) from error
 
 
-def _build(table, settings_class, prefix, problems):
+def _build_settings(table, settings_class, prefix, problems):
     """Return an instance of ``settings_class``, or None if ``problems`` grew."""
-    before = len(problems)
+    problem_count = len(problems)
     field_by_name = attrs.fields_dict(attrs.resolve_types(settings_class))
     for name in table:
         if name not in field_by_name:
-            problems.append(_unknown(name, field_by_name, prefix))
+            problems.append(_unknown_key_problem(name, field_by_name, prefix))
     value_by_name = {}
     for name, field in field_by_name.items():
         key = prefix + name
         if name in table:
-            value = _convert(table[name], field.type, key, problems)
+            value = _convert_value(table[name], field.type, key, problems)
             value_by_name[name] = value
-            _check(field, value, key, problems)
+            _check_range(field, value, key, problems)
         elif field.default is attrs.NOTHING:
             text = "is missing and has no default"
             problems.append(Problem(ErrorKind.SETTINGS_MISSING, key, text))
-    if len(problems) > before:
+    if len(problems) > problem_count:
         return None
     return settings_class(**value_by_name)
 
 
-def _unknown(name, field_by_name, prefix):
+def _unknown_key_problem(name, field_by_name, prefix):
     near = difflib.get_close_matches(name, field_by_name, n=1)
     text = f"is unknown; did you mean {prefix}{near[0]}?" if near else "is unknown"
     return Problem(ErrorKind.SETTINGS_UNKNOWN_KEY, prefix + name, text)
 
 
-def _convert(value, wanted, key, problems):
+def _convert_value(value, expected_type, key, problems):
     """Return the value converted to the field's type, or None if ``problems`` grew."""
-    if attrs.has(wanted):
+    if attrs.has(expected_type):
         if isinstance(value, dict):
-            return _build(value, wanted, f"{key}.", problems)
-        problems.append(_wrong_type(key, dict, value))
+            return _build_settings(value, expected_type, f"{key}.", problems)
+        problems.append(_wrong_type_problem(key, dict, value))
         return None
-    if typing.get_origin(wanted) is list:
-        return _convert_list(value, typing.get_args(wanted)[0], key, problems)
-    accepted = (int, float) if wanted is float else (wanted,)
+    if typing.get_origin(expected_type) is list:
+        return _convert_list(value, typing.get_args(expected_type)[0], key, problems)
+    accepted = (int, float) if expected_type is float else (expected_type,)
     if type(value) not in accepted:
-        problems.append(_wrong_type(key, wanted, value))
+        problems.append(_wrong_type_problem(key, expected_type, value))
         return None
     return value
 
 
-def _convert_list(value, wanted, key, problems):
+def _convert_list(value, expected_type, key, problems):
     if not isinstance(value, list):
-        problems.append(_wrong_type(key, list, value))
+        problems.append(_wrong_type_problem(key, list, value))
         return None
     items = []
     for number, item in enumerate(value):
-        items.append(_convert(item, wanted, f"{key}[{number}]", problems))
+        items.append(_convert_value(item, expected_type, f"{key}[{number}]", problems))
     return items
 
 
-def _wrong_type(key, wanted, value):
-    name = _NAME_BY_TYPE.get(wanted, wanted.__name__)
-    found = _NAME_BY_TYPE.get(type(value), type(value).__name__)
-    text = f"must be {name}, not {found}"
+def _wrong_type_problem(key, expected_type, value):
+    name = _DESCRIPTION_BY_TYPE.get(expected_type, expected_type.__name__)
+    actual_name = _DESCRIPTION_BY_TYPE.get(type(value), type(value).__name__)
+    text = f"must be {name}, not {actual_name}"
     return Problem(ErrorKind.SETTINGS_WRONG_TYPE, key, text)
 
 
-def _check(field, value, key, problems):
+def _check_range(field, value, key, problems):
     """Check the range of a value with the validator of its field."""
     if value is None or field.validator is None or _has_problem(key, problems):
         return
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -3,28 +3,28 @@
 import json
 
 from tamarackhaven._eliot_lines import open_logs
-from tamarackhaven._logs import WINDOW_S, Log
+from tamarackhaven._logs import REPEAT_WINDOW_S, Log
 from tamarackhaven._settings import LogSettings
 
 
-def test_lines_are_json_with_prefix_and_ids(tmp_path):
+def test_line_is_json_with_prefix_and_ids(tmp_path):
     close = open_logs(LogSettings(file="logs/d.log"), tmp_path)
     Log("path").part("gate").say("full", "r1", "r1.7", waiting=3)
     close()
     Log("gate").say("nobody reads this")
     (line,) = (tmp_path / "logs/d.log").read_text().splitlines()
     found = json.loads(line)
-    wanted = {
+    expected = {
         "sentence": "gate: full",
         "request_id": "r1",
         "decision_id": "r1.7",
         "waiting": 3,
         "message_type": "tamarackhaven:gate",
     }
-    assert {name: found[name] for name in wanted} == wanted
+    assert {name: found[name] for name in expected} == expected
 
 
-def test_repeated_lines_are_dropped_and_counted():
+def test_lines_above_the_repeat_limit_are_dropped_and_counted():
     """A target is down, and each of thousands of refusals a second logs a line.
 
     At most the configured number is written per minute, other sentences are not
@@ -36,7 +36,7 @@
     for number in range(1000):
         log.say("full", f"r{number}")
     log.say("other")
-    now[0] = WINDOW_S
+    now[0] = REPEAT_WINDOW_S
     log.say("full", "late")
     assert [line["sentence"] for line in lines] == ["gate: full"] * 3 + [
         "gate: other",
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -24,29 +24,29 @@
 
 
 @pytest.mark.parametrize("name", CLASS_BY_NAME)
-def test_each_example_loads_and_names_every_key_with_a_comment(name):
+def test_examples_load_and_document_every_setting_with_its_default(name):
     path = EXAMPLES / f"{name}.toml"
     settings = load_settings(path, CLASS_BY_NAME[name])
     lines = path.read_text().splitlines()
-    for value in _parts(settings):
+    for value in _nested_settings(settings):
         for field in attrs.fields(type(value)):
-            number = _line_of(lines, field.name)
+            number = _line_number_of(lines, field.name)
             before = lines[number - 1]
             assert before.startswith("#") or "#" in lines[number], field.name
             if not attrs.has(field.type) and field.default is not attrs.NOTHING:
                 assert getattr(value, field.name) == field.default, field.name
 
 
-def _parts(settings):
+def _nested_settings(settings):
     yield settings
     for value in attrs.asdict(settings, recurse=False).values():
         if attrs.has(type(value)):
-            yield from _parts(value)
+            yield from _nested_settings(value)
         elif isinstance(value, list):
             yield from value
 
 
-def _line_of(lines, name):
+def _line_number_of(lines, name):
     starts = (f"{name} =", f"[{name}]", f"[[{name}]]")
     for number, line in enumerate(lines):
         if line.startswith(starts):
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "kind", "key", "words"),
+    ("text", "kind", "key", "message_part"),
     [
         ("tick_ms = ]\n", "SETTINGS_SYNTAX", "line 1", ""),
         ("tick_sm = 5", "SETTINGS_UNKNOWN_KEY", "tick_sm", "did you mean tick_ms?"),
@@ -65,17 +65,17 @@
         ("tick_ms = 5", "SETTINGS_OUT_OF_RANGE", "tick_ms", ">= 10"),
     ],
 )
-def test_a_mistake_names_file_and_key(tmp_path, text, kind, key, words):
+def test_mistake_is_reported_with_file_and_key(tmp_path, text, kind, key, message_part):
     path = tmp_path / "p.toml"
     path.write_text(text)
     with pytest.raises(TamarackhavenError) as caught:
         load_settings(path, PlacementSettings)
     assert caught.value.kind is ErrorKind[kind]
-    for part in (str(path), key, words):
+    for part in (str(path), key, message_part):
         assert part in caught.value.detail
 
 
-def test_all_problems_are_told_at_once_with_dotted_keys(tmp_path):
+def test_all_problems_are_reported_at_once_with_dotted_keys(tmp_path):
     path = tmp_path / "d.toml"
     text = (EXAMPLES / "daemon.toml").read_text()
     text = text.replace('service = "rota"\n', "")
@@ -94,7 +94,7 @@
         load_settings(path, OperatorSettings)
 
 
-def test_a_control_vm_must_be_among_its_members(tmp_path):
+def test_control_vm_name_must_be_among_its_members(tmp_path):
     path = tmp_path / "c.toml"
     text = (EXAMPLES / "control.toml").read_text()
     path.write_text(re.sub("^name = .*", 'name = "other"', text, count=1, flags=re.M))
@@ -106,14 +106,14 @@
     )
 
 
-def test_a_missing_file_is_named(tmp_path):
+def test_missing_file_is_reported_with_its_name(tmp_path):
     with pytest.raises(TamarackhavenError) as caught:
         load_settings(tmp_path / "none.toml", OperatorSettings)
     assert caught.value.kind is ErrorKind.SETTINGS_MISSING
     assert "none.toml" in caught.value.detail
 
 
-def test_too_few_renewals_in_a_lease_are_refused(tmp_path):
+def test_renewal_interval_above_a_third_of_the_lease_is_rejected(tmp_path):
     """Otherwise one lost datagram ends the lease, and its shards move needlessly."""
     path = tmp_path / "daemon.toml"
     path.write_text(
