--- a/tamarackhaven/_logs.py
+++ b/tamarackhaven/_logs.py
@@ -44,7 +44,7 @@
         self._window_by_sentence = {}
 
     def part(self, prefix):
-        """Return the log of another component, with the same limit but its own counts."""
+        """Return the log of another component, with its own counts of repeats."""
         return Log(prefix, self._repeats_per_minute, self._clock, self._write)
 
     def say(self, sentence, request_id="", decision_id="", **fields):
--- a/tamarackhaven/_settings_file.py
+++ b/tamarackhaven/_settings_file.py
@@ -15,7 +15,7 @@
 MIN_RENEWALS_PER_LEASE = 3
 
 _DESCRIPTION_BY_TYPE = {
-    str: "a text",
+    str: "a string",
     int: "a whole number",
     float: "a number",
     bool: "true or false",
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -115,7 +115,7 @@
 
 
 def _type_name(wanted):
-    return "a whole number" if wanted is int else "a text"
+    return "a whole number" if wanted is int else "a string"
 
 
 def records(client, timeout_s, linearizable=True):
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -59,7 +59,12 @@
     [
         ("tick_ms = ]\n", "SETTINGS_SYNTAX", "line 1", ""),
         ("tick_sm = 5", "SETTINGS_UNKNOWN_KEY", "tick_sm", "did you mean tick_ms?"),
-        ("tick_ms = '5'", "SETTINGS_WRONG_TYPE", "tick_ms", "a whole number, not a t"),
+        (
+            "tick_ms = '5'",
+            "SETTINGS_WRONG_TYPE",
+            "tick_ms",
+            "a whole number, not a string",
+        ),
         ("tick_ms = true", "SETTINGS_WRONG_TYPE", "tick_ms", "not true or false"),
         ("tick_ms = 5.0", "SETTINGS_WRONG_TYPE", "tick_ms", "whole number"),
         ("tick_ms = 5", "SETTINGS_OUT_OF_RANGE", "tick_ms", ">= 10"),
