--- a/tamarackhaven/_metrics.py
+++ b/tamarackhaven/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and latency quantiles, as a page that scrapers read.
+"""Counters, gauges and latency quantiles in the Prometheus text exposition format.
 
-The page has the Prometheus text exposition format. Latencies are kept by
-``hdrhistogram`` since the start of the process.
+Latencies are recorded with ``hdrhistogram`` and accumulate from the start of the
+process.
 """
 
 import threading
@@ -42,7 +42,7 @@
 
 
 class Metrics:
-    """All counters of one process; every method may be called from any thread."""
+    """All metrics of one process. Its methods are thread-safe."""
 
     def __init__(self):
         self._lock = threading.Lock()
@@ -54,8 +54,9 @@
         self._register()
 
     def _register(self):
-        # A counter that appears with its first event has no rate before it, and an
-        # alert on that rate stays silent at the first failure.
+        # All series start at 0. A counter that appears only with its first event has no
+        # earlier value to compute a rate from, so an alert on the rate would miss the
+        # first failure.
         for kind in ErrorKind:
             self.count(REFUSALS, 0, kind=kind.name)
         for reason in RETRY_REASONS:
@@ -69,17 +70,17 @@
             self._count_by_key[_key(name, labels)] += amount
 
     def counter(self, name, **labels):
-        """Return the present value of a counter."""
+        """Return the current value of a counter, 0 if it doesn't exist."""
         with self._lock:
             return self._count_by_key.get(_key(name, labels), 0)
 
     def gauge(self, name, value, **labels):
-        """Set a gauge."""
+        """Set a gauge to ``value``."""
         with self._lock:
             self._gauge_by_key[_key(name, labels)] = value
 
     def observe(self, seconds, **labels):
-        """Record one latency in seconds under its labels, as service and target."""
+        """Record one latency in seconds, with labels such as service and target."""
         key = _key(LATENCY, labels)
         microseconds = min(max(1, round(seconds * _MICROSECONDS)), _LONGEST_US)
         with self._lock:
@@ -91,7 +92,7 @@
             self._seconds_by_key[key] += seconds
 
     def quantile_s(self, percent, **labels):
-        """Return a latency quantile in seconds, 0 if nothing was recorded."""
+        """Return a latency percentile, 0 to 100, in seconds; 0 if none was recorded."""
         with self._lock:
             histogram = self._histogram_by_key.get(_key(LATENCY, labels))
             if histogram is None:
@@ -99,11 +100,11 @@
             return histogram.get_value_at_percentile(percent) / _MICROSECONDS
 
     def add_source(self, source):
-        """Call ``source()`` before each page is made, so that it can set gauges."""
+        """Call ``source()`` before each page is rendered, so that it can set gauges."""
         self._sources.append(source)
 
     def page(self):
-        """Return the page as text."""
+        """Return all metrics as text in the Prometheus exposition format."""
         for source in self._sources:
             source()
         with self._lock:
--- a/tamarackhaven/_metrics_app.py
+++ b/tamarackhaven/_metrics_app.py
@@ -1,7 +1,7 @@
-"""Serves the page of metrics, and recorded refusals, over ``waitress``.
+"""Serves metrics and recorded refusals over HTTP with ``waitress``.
 
-Apart from ``_metrics``: daemons of a fleet serve the page themselves, and need neither
-this server nor its memory.
+A separate module from ``_metrics``, because daemons of a fleet serve the metrics page
+themselves and shouldn't spend memory on this server.
 """
 
 from urllib.parse import unquote
@@ -21,9 +21,10 @@
     Parameters
     ----------
     metrics : Metrics
-        Of the process.
+        Metrics of this process.
     refusals : RefusalRecord or None
-        Of a daemon.
+        Refusals that the daemon recorded; None where there are none, as on a control
+        VM.
     """
 
     def app(environ, start_response):
@@ -44,6 +45,6 @@
 
 
 def metrics_server(metrics, listen, refusals=None):
-    """Return the server of the page, not yet started."""
+    """Return an HTTP server for ``metrics_app`` on ``listen``, not yet started."""
     app = metrics_app(metrics, refusals)
     return HttpServer(app, listen, threads=1, name="metrics")
--- a/tamarackhaven/_trace.py
+++ b/tamarackhaven/_trace.py
@@ -1,26 +1,27 @@
-"""The way of one request through a fleet, from the logs of its processes. Pure."""
+"""Collects the log lines of one request from the logs of a fleet, without I/O."""
 
 import attrs
 import orjson
 
-# Lines of other subjects that may explain a request stand this close to its own, in
-# seconds: a move of keys or a change of the leader takes about as long.
+# Lines without a request id that were written this close to a request's lines may
+# explain it: moving keys or a change of the leader takes about as long.
 NEAR_S = 2.0
 _SHOWN_ELSEWHERE = frozenset(("at", "vm", "sentence", "part", "request_id"))
 
 
 @attrs.frozen(order=True)
 class Line:
-    """One line of a log.
+    """One parsed log line.
 
     Parameters
     ----------
     at_s : float
-        Unix seconds by the clock of the VM that wrote it; clocks differ a little.
+        Unix time in seconds by the clock of the VM that wrote the line. Clocks of VMs
+        differ slightly.
     vm, sentence, request_id : str
-        As written; ``request_id`` is empty for lines of other subjects.
+        As written; ``request_id`` is empty for lines that are not about a request.
     fields : dict
-        What decided.
+        All other fields of the line.
     """
 
     at_s: float
@@ -31,18 +32,24 @@
 
     @property
     def text(self):
-        """The line for people."""
+        """The line in human-readable form."""
         pairs = " ".join(f"{key}={value}" for key, value in self.fields.items())
         return f"{self.at_s:.3f} {self.vm:24} {self.sentence}  {pairs}".rstrip()
 
 
 def read_lines(texts):
-    """Return the ``Line`` of each text that is one; others are passed over.
+    """Parse log lines; texts that aren't log lines are skipped.
 
     Parameters
     ----------
     texts : iterable of str
-        Lines of logs; what a platform puts before the JSON is cut off.
+        Raw lines of logs. Text before the JSON object, such as a prefix added by the
+        platform, is ignored.
+
+    Returns
+    -------
+    list of Line
+        In the order of ``texts``.
     """
     return [line for line in map(_read, texts) if line is not None]
 
@@ -67,17 +74,17 @@
 
 
 def trace(lines, request_id, with_near=False):
-    """Return the lines of a request in order.
+    """Return the lines of a request in order of time.
 
     Parameters
     ----------
     lines : iterable of Line
-        Of all processes.
+        Lines of all processes.
     request_id : str
         The attempt id that the caller sent.
     with_near : bool
-        Whether to return also lines of other subjects, no request's own, that were
-        written within ``NEAR_S`` seconds of the request.
+        Whether to include lines without a request id that were written within
+        ``NEAR_S`` seconds of the request's lines.
     """
     lines = list(lines)
     own = [line for line in lines if line.request_id == request_id]
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -1,6 +1,6 @@
-"""The library calls under the commands; programs may use them, too.
+"""Library functions that implement the commands and may be used by other programs.
 
-Everything raises ``TamarackhavenError`` and prints nothing.
+They print nothing and report errors as ``TamarackhavenError``.
 """
 
 import http.client
@@ -20,7 +20,7 @@
 
 HTTP_TIMEOUT_S = 5.0
 
-# In the order in which resources refer to one another.
+# Resources are applied in this order, because later kinds refer to earlier ones.
 KIND_BY_NAME = {
     "zone": AvailabilityZone,
     "policy": OwnershipPolicy,
@@ -45,7 +45,21 @@
 
 @attrs.frozen
 class Applied:
-    """What became of one resource: ``result`` is created, changed or unchanged."""
+    """Outcome of a change to one resource or member.
+
+    Parameters
+    ----------
+    kind, name : str
+        Kind and name of the resource; kind ``Member`` for a member of the control
+        group.
+    result : str
+        For a resource created, changed, unchanged or deleted; for a member the result
+        given to ``change_membership``.
+    version : int
+        Version of the state after the change.
+    change_id : str
+        Id of the change; empty for a member.
+    """
 
     kind: str
     name: str
@@ -55,17 +69,17 @@
 
 
 def new_change_id():
-    """Return a change id that nobody else has."""
+    """Return a new, globally unique change id."""
     return uuid.uuid4().hex
 
 
 def kind_named(name):
-    """Return the resource class that operators call ``name``.
+    """Return the resource class for the name of a kind, such as ``zone``.
 
     Raises
     ------
     TamarackhavenError
-        USAGE if there is none.
+        USAGE if there is no such kind.
     """
     kind = KIND_BY_NAME.get(name)
     if kind is None:
@@ -75,7 +89,7 @@
 
 
 def read_resources(path):
-    """Return the resources of a TOML file, in the order to apply them.
+    """Return the resources in a TOML file, in the order in which to apply them.
 
     The file has tables ``[[zone]]``, ``[[policy]]`` and ``[[service]]``.
 
@@ -119,7 +133,7 @@
 
 
 def records(client, timeout_s, linearizable=True):
-    """Return the version and all records in force: resources, targets and grants."""
+    """Return the state's version and its resources, targets and grants, as a list."""
     feed = client.fetch(0, timeout_s, linearizable)
     found = []
     for event in feed.events:
@@ -135,14 +149,14 @@
 def apply_resource(client, resource, change_id, timeout_s, allow_last_zone_out=False):
     """Create or change one resource and return ``Applied``.
 
-    A resource that names a ``version`` is changed only if that is the present one.
-    Without it, the version read here is taken: of two racing operators one then gets
-    a conflict, and none overwrites what it has not seen.
+    A resource with a ``version`` is changed only if that is the current version. If it
+    has none, the version read here is expected: of two concurrent operators one gets a
+    conflict, and neither overwrites a change that it hasn't read.
 
     Raises
     ------
     TamarackhavenError
-        With the kind of the refusal.
+        With the error kind of the refusal.
     """
     old = _present(client, type(resource), resource.name, timeout_s)
     kind = type(resource).__name__
@@ -157,7 +171,13 @@
 
 
 def delete_resource(client, kind, name, change_id, timeout_s):
-    """Delete one resource and return ``Applied``."""
+    """Delete one resource and return ``Applied``.
+
+    Raises
+    ------
+    TamarackhavenError
+        NOT_FOUND if it doesn't exist; else the error kind of the refusal.
+    """
     old = _present(client, kind, name, timeout_s)
     if old is None:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{kind.__name__} {name!r}")
@@ -167,12 +187,13 @@
 
 
 def change_membership(client, step, result, timeout_s):
-    """Carry out one ``Step`` in the control group and return ``Applied``.
+    """Apply one membership ``Step`` to the control group and return ``Applied``.
 
     Raises
     ------
     TamarackhavenError
-        MEMBERSHIP_BUSY for a learner that has not caught up; else the refusal's kind.
+        MEMBERSHIP_BUSY for a learner that has not caught up; else the error kind of
+        the refusal.
     """
     outcome = checked(client.change_membership(step, timeout_s))
     return Applied("Member", step.member.name, result, outcome.version, "")
@@ -184,14 +205,15 @@
     Parameters
     ----------
     address : str
-        ``HOST:PORT`` of the daemon's metrics page.
+        ``HOST:PORT`` of the daemon's metrics server.
     an_id : str
-        The id.
+        The request id or decision id.
 
     Raises
     ------
     TamarackhavenError
-        USAGE if the address is none, OWNER_UNREACHABLE if no daemon answers there.
+        USAGE if the address is not HOST:PORT, OWNER_UNREACHABLE if no daemon answers
+        there within ``HTTP_TIMEOUT_S``.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -209,7 +231,13 @@
 
 
 def checked(outcome):
-    """Return an ``Outcome`` that was applied; raise the error of another one."""
+    """Return an ``Outcome`` if it was applied, else raise its error.
+
+    Raises
+    ------
+    TamarackhavenError
+        With the code and detail of the outcome.
+    """
     if outcome.code:
         raise TamarackhavenError(ErrorKind(outcome.code), outcome.detail)
     return outcome
@@ -224,12 +252,12 @@
 
 
 def log_lines(paths):
-    """Return the lines of log files as an iterator; ``-`` is standard input.
+    """Iterate over the lines of log files; the path ``-`` is standard input.
 
     Raises
     ------
     TamarackhavenError
-        NOT_FOUND, naming a file that can't be read.
+        NOT_FOUND if a file can't be read; the detail names it.
     """
     for path in paths:
         try:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and quantiles, and the page of them."""
+"""Counters, latency quantiles and their exposition as text."""
 
 import re
 from concurrent.futures import ThreadPoolExecutor
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""From a request's id to its lines in the logs of many processes."""
+"""Tracing a request by its id through the logs of several processes."""
 
 import pytest
 
