--- a/tamarackhaven/_metrics.py
+++ b/tamarackhaven/_metrics.py
@@ -29,9 +29,9 @@
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
-_MICROSECONDS = 1_000_000
-_LONGEST_US = 600 * _MICROSECONDS
-_DIGITS = 2
+_US_PER_S = 1_000_000
+_MAX_LATENCY_US = 600 * _US_PER_S
+_SIGNIFICANT_DIGITS = 2
 _HELP_BY_NAME = {
     REFUSALS: "Requests answered with an error of the closed list, by its name.",
     RETRIES: "Further tries of one request, by the error before it, or HEDGE.",
@@ -50,10 +50,10 @@
         self._gauge_by_key = {}
         self._histogram_by_key = {}
         self._seconds_by_key = defaultdict(float)
-        self._sources = []
-        self._register()
+        self._gauge_sources = []
+        self._initialize_counters()
 
-    def _register(self):
+    def _initialize_counters(self):
         # All series start at 0. A counter that appears only with its first event has no
         # earlier value to compute a rate from, so an alert on the rate would miss the
         # first failure.
@@ -67,26 +67,26 @@
     def count(self, name, amount=1, **labels):
         """Add ``amount`` to a counter."""
         with self._lock:
-            self._count_by_key[_key(name, labels)] += amount
+            self._count_by_key[_series_key(name, labels)] += amount
 
     def counter(self, name, **labels):
         """Return the current value of a counter, 0 if it doesn't exist."""
         with self._lock:
-            return self._count_by_key.get(_key(name, labels), 0)
+            return self._count_by_key.get(_series_key(name, labels), 0)
 
     def gauge(self, name, value, **labels):
         """Set a gauge to ``value``."""
         with self._lock:
-            self._gauge_by_key[_key(name, labels)] = value
+            self._gauge_by_key[_series_key(name, labels)] = value
 
     def observe(self, seconds, **labels):
         """Record one latency in seconds, with labels such as service and target."""
-        key = _key(LATENCY, labels)
-        microseconds = min(max(1, round(seconds * _MICROSECONDS)), _LONGEST_US)
+        key = _series_key(LATENCY, labels)
+        microseconds = min(max(1, round(seconds * _US_PER_S)), _MAX_LATENCY_US)
         with self._lock:
             histogram = self._histogram_by_key.get(key)
             if histogram is None:
-                histogram = HdrHistogram(1, _LONGEST_US, _DIGITS)
+                histogram = HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
                 self._histogram_by_key[key] = histogram
             histogram.record_value(microseconds)
             self._seconds_by_key[key] += seconds
@@ -94,66 +94,68 @@
     def quantile_s(self, percent, **labels):
         """Return a latency percentile, 0 to 100, in seconds; 0 if none was recorded."""
         with self._lock:
-            histogram = self._histogram_by_key.get(_key(LATENCY, labels))
+            histogram = self._histogram_by_key.get(_series_key(LATENCY, labels))
             if histogram is None:
                 return 0.0
-            return histogram.get_value_at_percentile(percent) / _MICROSECONDS
+            return histogram.get_value_at_percentile(percent) / _US_PER_S
 
     def add_source(self, source):
         """Call ``source()`` before each page is rendered, so that it can set gauges."""
-        self._sources.append(source)
+        self._gauge_sources.append(source)
 
     def page(self):
         """Return all metrics as text in the Prometheus exposition format."""
-        for source in self._sources:
+        for source in self._gauge_sources:
             source()
         with self._lock:
-            lines = _section(self._count_by_key, "counter")
-            lines += _section(self._gauge_by_key, "gauge")
+            lines = _section_lines(self._count_by_key, "counter")
+            lines += _section_lines(self._gauge_by_key, "gauge")
             lines += self._latency_lines()
         return "\n".join(lines) + "\n"
 
     def _latency_lines(self):
         if not self._histogram_by_key:
             return []
-        lines = _head(LATENCY, "summary")
+        lines = _header_lines(LATENCY, "summary")
         for (name, labels), histogram in sorted(self._histogram_by_key.items()):
             for percent in QUANTILES:
-                value = histogram.get_value_at_percentile(percent) / _MICROSECONDS
+                value = histogram.get_value_at_percentile(percent) / _US_PER_S
                 quantile = ("quantile", f"{percent / 100:g}")
-                lines.append(f"{name}{_labels((*labels, quantile))} {value:g}")
+                lines.append(f"{name}{_format_labels((*labels, quantile))} {value:g}")
             total = self._seconds_by_key[name, labels]
-            lines.append(f"{name}_sum{_labels(labels)} {total:g}")
-            lines.append(f"{name}_count{_labels(labels)} {histogram.total_count}")
+            lines.append(f"{name}_sum{_format_labels(labels)} {total:g}")
+            lines.append(
+                f"{name}_count{_format_labels(labels)} {histogram.total_count}"
+            )
         return lines
 
 
-def _key(name, labels):
+def _series_key(name, labels):
     return name, tuple(sorted((key, str(value)) for key, value in labels.items()))
 
 
-def _head(name, kind):
+def _header_lines(name, kind):
     help_text = _HELP_BY_NAME.get(name, "See docs/OPERATING.md.")
     return [f"# HELP {name} {help_text}", f"# TYPE {name} {kind}"]
 
 
-def _section(value_by_key, kind):
+def _section_lines(value_by_key, kind):
     lines = []
     last = None
     for (name, labels), value in sorted(value_by_key.items()):
         if name != last:
-            lines += _head(name, kind)
+            lines += _header_lines(name, kind)
             last = name
-        lines.append(f"{name}{_labels(labels)} {value:g}")
+        lines.append(f"{name}{_format_labels(labels)} {value:g}")
     return lines
 
 
-def _labels(labels):
+def _format_labels(labels):
     if not labels:
         return ""
-    pairs = ",".join(f'{key}="{_escaped(value)}"' for key, value in labels)
+    pairs = ",".join(f'{key}="{_escape_label_value(value)}"' for key, value in labels)
     return "{" + pairs + "}"
 
 
-def _escaped(value):
+def _escape_label_value(value):
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
--- a/tamarackhaven/_trace.py
+++ b/tamarackhaven/_trace.py
@@ -5,8 +5,8 @@
 
 # Lines without a request id that were written this close to a request's lines may
 # explain it: moving keys or a change of the leader takes about as long.
-NEAR_S = 2.0
-_SHOWN_ELSEWHERE = frozenset(("at", "vm", "sentence", "part", "request_id"))
+NEARBY_WINDOW_S = 2.0
+_NAMED_FIELDS = frozenset(("at", "vm", "sentence", "part", "request_id"))
 
 
 @attrs.frozen(order=True)
@@ -51,10 +51,10 @@
     list of Line
         In the order of ``texts``.
     """
-    return [line for line in map(_read, texts) if line is not None]
+    return [line for line in map(_parse_line, texts) if line is not None]
 
 
-def _read(text):
+def _parse_line(text):
     start = text.find("{")
     if start < 0:
         return None
@@ -69,11 +69,11 @@
         str(fields["vm"]),
         str(fields["sentence"]),
         str(fields.get("request_id", "")),
-        {key: fields[key] for key in fields if key not in _SHOWN_ELSEWHERE},
+        {key: fields[key] for key in fields if key not in _NAMED_FIELDS},
     )
 
 
-def trace(lines, request_id, with_near=False):
+def trace(lines, request_id, include_nearby=False):
     """Return the lines of a request in order of time.
 
     Parameters
@@ -82,18 +82,18 @@
         Lines of all processes.
     request_id : str
         The attempt id that the caller sent.
-    with_near : bool
+    include_nearby : bool
         Whether to include lines without a request id that were written within
-        ``NEAR_S`` seconds of the request's lines.
+        ``NEARBY_WINDOW_S`` seconds of the request's lines.
     """
     lines = list(lines)
-    own = [line for line in lines if line.request_id == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.request_id == request_id]
+    if not request_lines:
         return []
-    if with_near:
-        first = min(line.at_s for line in own) - NEAR_S
-        last = max(line.at_s for line in own) + NEAR_S
-        own += [
+    if include_nearby:
+        first = min(line.at_s for line in request_lines) - NEARBY_WINDOW_S
+        last = max(line.at_s for line in request_lines) + NEARBY_WINDOW_S
+        request_lines += [
             line for line in lines if not line.request_id and first <= line.at_s <= last
         ]
-    return sorted(own)
+    return sorted(request_lines)
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -34,8 +34,8 @@
     "apply_resource",
     "change_membership",
     "delete_resource",
-    "kind_named",
-    "log_lines",
+    "resource_class_named",
+    "read_log_lines",
     "new_change_id",
     "read_resources",
     "records",
@@ -56,7 +56,7 @@
         For a resource created, changed, unchanged or deleted; for a member the result
         given to ``change_membership``.
     version : int
-        Version of the state after the change.
+        Current version of the resource or of the membership.
     change_id : str
         Id of the change; empty for a member.
     """
@@ -73,7 +73,7 @@
     return uuid.uuid4().hex
 
 
-def kind_named(name):
+def resource_class_named(name):
     """Return the resource class for the name of a kind, such as ``zone``.
 
     Raises
@@ -117,9 +117,9 @@
         if key not in known:
             detail = f"{path}: {name} has no {key!r}."
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
-        wanted = known[key].type
-        if wanted in (int, str) and type(value) is not wanted:
-            detail = f"{path}: {name}.{key} must be {_type_name(wanted)}."
+        expected_type = known[key].type
+        if expected_type in (int, str) and type(value) is not expected_type:
+            detail = f"{path}: {name}.{key} must be {_type_name(expected_type)}."
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
     try:
         return _codec.from_plain(row, kind)
@@ -128,8 +128,8 @@
         raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail) from error
 
 
-def _type_name(wanted):
-    return "a whole number" if wanted is int else "a string"
+def _type_name(expected_type):
+    return "a whole number" if expected_type is int else "a string"
 
 
 def records(client, timeout_s, linearizable=True):
@@ -158,13 +158,13 @@
     TamarackhavenError
         With the error kind of the refusal.
     """
-    old = _present(client, type(resource), resource.name, timeout_s)
+    old = _find_current(client, type(resource), resource.name, timeout_s)
     kind = type(resource).__name__
     expected = resource.version or (old.version if old else 0)
-    wanted = attrs.evolve(resource, version=0)
-    if old and expected == old.version and attrs.evolve(old, version=0) == wanted:
+    desired = attrs.evolve(resource, version=0)
+    if old and expected == old.version and attrs.evolve(old, version=0) == desired:
         return Applied(kind, resource.name, "unchanged", old.version, change_id)
-    change = PutResource(change_id, wanted, expected, allow_last_zone_out)
+    change = PutResource(change_id, desired, expected, allow_last_zone_out)
     outcome = checked(client.change(change, timeout_s))
     result = "changed" if expected else "created"
     return Applied(kind, resource.name, result, outcome.version, change_id)
@@ -178,7 +178,7 @@
     TamarackhavenError
         NOT_FOUND if it doesn't exist; else the error kind of the refusal.
     """
-    old = _present(client, kind, name, timeout_s)
+    old = _find_current(client, kind, name, timeout_s)
     if old is None:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{kind.__name__} {name!r}")
     change = DeleteResource(change_id, kind.__name__, name, old.version)
@@ -199,14 +199,14 @@
     return Applied("Member", step.member.name, result, outcome.version, "")
 
 
-def refusals_of(address, an_id):
+def refusals_of(address, request_or_decision_id):
     """Return the refusals that a daemon recorded for a request id or decision id.
 
     Parameters
     ----------
     address : str
         ``HOST:PORT`` of the daemon's metrics server.
-    an_id : str
+    request_or_decision_id : str
         The request id or decision id.
 
     Raises
@@ -220,7 +220,9 @@
         raise TamarackhavenError(ErrorKind.USAGE, f"{address!r} is not HOST:PORT.")
     connection = http.client.HTTPConnection(host, int(port), timeout=HTTP_TIMEOUT_S)
     try:
-        connection.request("GET", REFUSALS_PATH + quote(an_id, safe=""))
+        connection.request(
+            "GET", REFUSALS_PATH + quote(request_or_decision_id, safe="")
+        )
         return _codec.loads(connection.getresponse().read(), list[Refusal])
     except (OSError, http.client.HTTPException) as error:
         raise TamarackhavenError(
@@ -243,7 +245,7 @@
     return outcome
 
 
-def _present(client, kind, name, timeout_s):
+def _find_current(client, kind, name, timeout_s):
     _, found = records(client, timeout_s)
     for record in found:
         if type(record) is kind and record.name == name:
@@ -251,7 +253,7 @@
     return None
 
 
-def log_lines(paths):
+def read_log_lines(paths):
     """Iterate over the lines of log files; the path ``-`` is standard input.
 
     Raises
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -99,7 +99,7 @@
     :param change_id: Repeat it to resend a change whose answer was lost.
     :param output: text or json.
     """
-    resource_kind = plumbing.kind_named(kind)
+    resource_kind = plumbing.resource_class_named(kind)
     with _Client(settings) as client:
         applied = plumbing.delete_resource(
             client.calls,
@@ -223,7 +223,9 @@
     :param near: Also what else was decided around that time.
     :param output: text or json.
     """
-    found = _trace.trace(_trace.read_lines(plumbing.log_lines(logs)), request, near)
+    found = _trace.trace(
+        _trace.read_lines(plumbing.read_log_lines(logs)), request, near
+    )
     if not found:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
     for line in found:
@@ -236,7 +238,7 @@
     :param logs: Log files of all daemons; - for standard input.
     :param output: text or json.
     """
-    for loss in _losses.losses(_trace.read_lines(plumbing.log_lines(logs))):
+    for loss in _losses.losses(_trace.read_lines(plumbing.read_log_lines(logs))):
         _print(loss, output, loss.text)
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -16,12 +16,12 @@
 from tamarackhaven._retry import RetryRefusal
 from tamarackhaven.errors import ErrorKind
 
-_SAMPLE = re.compile(
+_SAMPLE_LINE = re.compile(
     r'[a-z_]+(\{[a-z_]+="([^"\\\n]|\\.)*"(,[a-z_]+="([^"\\\n]|\\.)*")*\})? [-+.e\d]+'
 )
 
 
-def test_every_refusal_kind_and_retry_reason_starts_at_zero():
+def test_every_refusal_kind_and_retry_reason_is_exported_as_zero_at_start():
     page = Metrics().page()
     for kind in ErrorKind:
         assert f'{REFUSALS}{{kind="{kind.name}"}} 0\n' in page
@@ -31,7 +31,7 @@
         assert f'{RETRIES_REFUSED}{{reason="{refusal.value}"}} 0\n' in page
 
 
-def test_counts_from_many_threads_add_up():
+def test_counts_from_concurrent_threads_are_not_lost():
     metrics = Metrics()
     with ThreadPoolExecutor(8) as pool:
         for _ in range(800):
@@ -48,12 +48,12 @@
     name=st.text(st.characters(codec="utf-8", exclude_categories=("Cs",))),
     seconds=st.lists(st.floats(0.0001, 500), min_size=1, max_size=60),
 )
-def test_the_page_parses_and_quantiles_match_a_sorted_list(name, seconds):
+def test_page_parses_and_median_matches_a_sorted_list(name, seconds):
     metrics = Metrics()
     for value in seconds:
         metrics.observe(value, service=name, target="t")
     for line in metrics.page().strip("\n").split("\n"):
-        assert line.startswith("# ") or _SAMPLE.fullmatch(line), line
-    naive = sorted(seconds)[max(0, -(-len(seconds) * 50 // 100) - 1)]
+        assert line.startswith("# ") or _SAMPLE_LINE.fullmatch(line), line
+    expected_s = sorted(seconds)[max(0, -(-len(seconds) * 50 // 100) - 1)]
     found = metrics.quantile_s(50, service=name, target="t")
-    assert abs(found - naive) <= naive * 0.02 + 0.000_002
+    assert abs(found - expected_s) <= expected_s * 0.02 + 0.000_002
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -17,25 +17,25 @@
 ]
 
 
-def test_the_lines_of_a_request_come_in_order_from_all_processes():
+def test_trace_returns_lines_of_all_processes_in_order_of_time():
     found = trace(read_lines(reversed(LOGS)), "x")
     assert [line.sentence for line in found] == ["gate: not run", "caller: refused"]
     assert "kind=FULL" in found[0].text
 
 
-def test_what_happened_around_it_is_shown_on_demand():
-    found = trace(read_lines(LOGS), "x", with_near=True)
+def test_trace_includes_nearby_lines_on_demand():
+    found = trace(read_lines(LOGS), "x", include_nearby=True)
     assert [line.vm for line in found] == ["c", "b", "a"]
 
 
-def test_the_command_prints_them(tmp_path, capsys):
+def test_trace_command_prints_the_lines(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOGS))
     main(["trace", "x", str(log)])
     assert capsys.readouterr().out.count("\n") == 2
 
 
-def test_an_unknown_request_is_an_error_with_a_code(tmp_path, capsys):
+def test_trace_of_an_unknown_request_fails_with_not_found(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOGS))
     with pytest.raises(SystemExit) as stopped:
