--- a/tamarackhaven/__init__.py
+++ b/tamarackhaven/__init__.py
@@ -1,4 +1,4 @@
-"""A router for services whose servers hold state per key and own it alone."""
+"""A router for services in which each key's state has exactly one owning server."""
 
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
--- a/tamarackhaven/__main__.py
+++ b/tamarackhaven/__main__.py
@@ -1,4 +1,4 @@
-"""The one program: ``tamarackhaven SUBCOMMAND``."""
+"""The command line, ``tamarackhaven SUBCOMMAND``."""
 
 import sys
 
@@ -26,7 +26,18 @@
 
 
 def main(arguments=None):
-    """Run the subcommand named on the command line and exit with its code."""
+    """Run a subcommand; on an error print it and exit with its exit code.
+
+    Parameters
+    ----------
+    arguments : list of str or None
+        The command line without the program's name; None for ``sys.argv``.
+
+    Raises
+    ------
+    SystemExit
+        With the exit code of the error; 0 on an interrupt or a broken pipe.
+    """
     try:
         defopt.run(
             COMMANDS,
--- a/tamarackhaven/_clock.py
+++ b/tamarackhaven/_clock.py
@@ -1,4 +1,4 @@
-"""The clocks. Decision modules never import this: time is passed in to them."""
+"""The system clocks. Decision modules don't import it; they get times as arguments."""
 
 import time
 
@@ -6,12 +6,12 @@
 def boot_s():
     """Return seconds since boot, counting the time a VM was suspended.
 
-    A lease must not outlive a suspension: CLOCK_MONOTONIC stands still while a VM is
-    suspended, so a woken daemon would believe in a lease long gone.
+    CLOCK_MONOTONIC doesn't advance while a VM is suspended. A daemon that uses it would
+    consider its lease valid after the VM resumes, although it expired long ago.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_s():
-    """Return seconds of wall-clock time, for people and callers only."""
+    """Return Unix time in seconds, only for display and for times given by callers."""
     return time.time()
--- a/tamarackhaven/_keys.py
+++ b/tamarackhaven/_keys.py
@@ -1,4 +1,4 @@
-"""From a key to its hash and its shard."""
+"""Maps keys to hashes and hashes to shards."""
 
 import hashlib
 
@@ -8,8 +8,8 @@
 def hash_key(service, key):
     """Return the 64-bit hash of a key within its service.
 
-    BLAKE2b spreads keys that differ in one digit, as consignment numbers do, and is
-    the same in every process and release, unlike ``hash``.
+    BLAKE2b distributes keys that differ in only one digit, as consignment numbers do,
+    evenly. Unlike ``hash``, it gives the same result in every process and release.
     """
     digest = hashlib.blake2b(
         key.encode(), digest_size=_HASH_BYTES, person=service.encode()[:16]
@@ -18,5 +18,5 @@
 
 
 def shard_of(key_hash, shard_count):
-    """Return the shard of a hash, 0 to ``shard_count - 1``."""
+    """Return the shard of a key's hash, from 0 to ``shard_count - 1``."""
     return key_hash % shard_count
--- a/tamarackhaven/_loop.py
+++ b/tamarackhaven/_loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in a thread, for the calls that ``grpclib`` makes.
+"""An asyncio event loop in a thread, for calls with ``grpclib``.
 
-The rest of the program is built on ``concurrent.futures``; this is the one seam
-between the two.
+The rest of the program uses ``concurrent.futures``; this is the only place where the
+two meet.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 
 
 class LoopThread:
-    """Runs one event loop until ``stop``."""
+    """Runs an event loop in a daemon thread until ``stop`` is called."""
 
     def __init__(self, name):
         self.loop = asyncio.new_event_loop()
@@ -22,7 +22,7 @@
         self.loop.run_forever()
 
     def submit(self, coroutine):
-        """Start a coroutine; return its ``concurrent.futures.Future``."""
+        """Schedule a coroutine and return its ``concurrent.futures.Future``."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop)
 
     def call(self, coroutine, timeout_s):
@@ -31,7 +31,7 @@
         Raises
         ------
         TimeoutError
-            If it takes longer than ``timeout_s`` seconds; it is cancelled then.
+            If it takes longer than ``timeout_s`` seconds; the coroutine is cancelled.
         """
         future = self.submit(coroutine)
         try:
@@ -41,7 +41,7 @@
             raise TimeoutError from None
 
     def stop(self):
-        """Cancel what runs, stop the loop and wait for its thread."""
+        """Cancel all tasks, stop the loop and wait for its thread to end."""
         self.submit(_cancel_others()).add_done_callback(
             lambda _: self.loop.call_soon_threadsafe(self.loop.stop)
         )
--- a/tamarackhaven/_process.py
+++ b/tamarackhaven/_process.py
@@ -1,4 +1,4 @@
-"""What the processes of a fleet share: logs, signals, the metrics page, the end."""
+"""Shared by fleet processes: logs, signals, settings reload, metrics, exit codes."""
 
 import asyncio
 import signal
@@ -12,16 +12,16 @@
 from tamarackhaven.errors import TamarackhavenError
 from tamarackhaven.net import HttpResponse, HttpServer
 
-# Lines with the same sentence in a minute. Under overload each refusal would write
-# one; at a hundred a second the counters tell the rest.
+# Lines with the same sentence per minute. Under overload each refusal would write one;
+# beyond a hundred per second, counters provide the numbers.
 REPEATS_PER_MINUTE = 6000
 FLUSH_S = 0.25
-# The file may also change without a signal.
+# The settings file may also change without a SIGHUP.
 REREAD_S = 2.0
 
 
 def open_log(prefix, name):
-    """Return the ``Log`` of a process and the ``JsonLines`` that it writes to."""
+    """Return the ``Log`` of the process ``name`` and the ``JsonLines`` it writes to."""
     lines = JsonLines(vm=name)
     return Log(prefix, REPEATS_PER_MINUTE, boot_s, lines.write), lines
 
@@ -29,7 +29,7 @@
 def run_process(main):
     """Run a coroutine function until it returns its exit code.
 
-    An error of the closed list ends the process with its code and its text.
+    A ``TamarackhavenError`` is printed to standard error, and its exit code returned.
     """
     try:
         return asyncio.run(main())
@@ -39,7 +39,7 @@
 
 
 def on_signals(stop, reload):
-    """Call ``stop`` on SIGTERM and SIGINT, ``reload`` on SIGHUP, on the event loop."""
+    """Call ``stop`` on SIGTERM and SIGINT, ``reload`` on SIGHUP, in the event loop."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop)
     loop.add_signal_handler(signal.SIGINT, stop)
@@ -47,23 +47,23 @@
 
 
 async def keep_flushing(lines):
-    """Write what the reader of the log did not take at once."""
+    """Flush buffered log lines periodically."""
     while True:
         await asyncio.sleep(FLUSH_S)
         lines.flush()
 
 
 def reload_settings(path, owner, log):
-    """Let a process take its file's settings, or go on with its own if they are wrong.
+    """Apply the settings file if it changed; keep the old settings if it is invalid.
 
     Parameters
     ----------
     path : str
-        Settings file, TOML.
+        TOML settings file.
     owner : object
-        Has ``settings`` and ``reload(settings)``.
+        Process with an attribute ``settings`` and a method ``reload(settings)``.
     log : Log
-        Of the process.
+        Log of the process; gets a line if the file is invalid.
     """
     try:
         settings = load_settings(path, type(owner.settings))
@@ -75,14 +75,14 @@
 
 
 async def keep_rereading(path, owner, log):
-    """Look at the settings file again and again, as ``reload_settings``."""
+    """Call ``reload_settings`` periodically."""
     while True:
         await asyncio.sleep(REREAD_S)
         reload_settings(path, owner, log)
 
 
 async def serve_metrics(metrics, host, port):
-    """Serve the metrics page; return its server."""
+    """Start an HTTP server for the metrics page and return it."""
 
     async def handle(request):
         if request.path != METRICS_PATH:
--- a/tamarackhaven/_seams.py
+++ b/tamarackhaven/_seams.py
@@ -1,4 +1,4 @@
-"""What the request path needs from the rest of the daemon, as protocols."""
+"""Interfaces that the request path uses, as ``typing`` protocols."""
 
 from typing import Protocol
 
@@ -9,18 +9,18 @@
 
 @attrs.frozen
 class Located:
-    """Where a key belongs, as one version of the state has it.
+    """The grant and the owner of a key, in one version of the state.
 
     Parameters
     ----------
     grant : ShardGrant
         The grant of the key's shard, or of the key itself if it is pinned.
     owner : TargetMember or None
-        The owning target; None if the shard has no owner.
+        The target that owns the key; None if it has no owner.
     service : Service
         The service that the key belongs to.
     mode : PolicyMode
-        Of the service. A key of a shared one has no owner.
+        Mode of the service. The keys of a shared service have no owner.
     """
 
     grant: ShardGrant
@@ -30,14 +30,14 @@
 
 
 class View(Protocol):
-    """The state of the control group as this daemon knows it."""
+    """The control group's state as known to this daemon."""
 
     @property
     def version(self) -> int:
-        """Version of the state; it never falls."""
+        """Version of the state; it never decreases."""
 
     def locate(self, service: str, key_hash: int) -> Located:
-        """Return where a key belongs.
+        """Return the grant and the owner of a key.
 
         Raises
         ------
@@ -46,30 +46,30 @@
         """
 
     def takers(self, service: str) -> list[TargetMember]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that accept new requests."""
 
     def member(self, service: str, target: str) -> TargetMember | None:
-        """Return one target, or None."""
+        """Return a target of a service, or None if it isn't a member."""
 
 
 class Lease(Protocol):
-    """The lease of the target beside this daemon; times are of CLOCK_BOOTTIME."""
+    """The lease of this daemon's target; times are CLOCK_BOOTTIME seconds."""
 
     def holds(self, now: float) -> bool:
-        """Return whether the lease holds at ``now``, in seconds."""
+        """Return whether the lease is valid at ``now``, in seconds."""
 
     def held_until(self, now: float) -> float:
-        """Return the end of the lease as known at ``now``, in seconds."""
+        """Return when the lease expires, as known at ``now``, both in seconds."""
 
     def epoch(self) -> int:
-        """Return the epoch that the lease is for, 0 if there is none."""
+        """Return the epoch of the lease, 0 if there is none."""
 
 
 class Clock(Protocol):
-    """The two clocks; the module ``_clock`` is one."""
+    """Source of the two clocks; the module ``_clock`` implements it."""
 
     def boot_s(self) -> float:
-        """Return seconds since boot, suspension included."""
+        """Return seconds since boot, including suspension."""
 
     def unix_s(self) -> float:
-        """Return seconds of wall-clock time."""
+        """Return Unix time in seconds."""
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -1,4 +1,4 @@
-"""The commands: a thin layer over ``plumbing`` that prints for people or programs."""
+"""The commands: a thin layer over ``plumbing`` that prints text or JSON."""
 
 import contextlib
 import json
@@ -25,7 +25,7 @@
 
 
 def daemon(*, settings: str):
-    """Run the daemon beside a target until SIGTERM.
+    """Run the daemon next to a target until SIGTERM.
 
     :param settings: Path of the daemon's TOML file.
     """
@@ -43,8 +43,9 @@
     """Run a control VM until SIGTERM.
 
     :param settings: Path of the control VM's TOML file.
-    :param first_start: Start a new group. Only for the very first start: an empty data
-        folder without it is a lost one, and a member that lost its folder may not vote.
+    :param first_start: Start a new group. Use only for the very first start. Without it
+        an empty data folder counts as lost, and a member that lost its data folder may
+        not vote.
     """
     from tamarackhaven._control_process import run_control
 
@@ -61,12 +62,12 @@
     allow_last_zone_out: bool = False,
     output: Output = "text",
 ):
-    """Create or change the resources of a TOML file.
+    """Create or change the resources in a TOML file.
 
-    :param file: Path of the file with [[zone]], [[policy]] and [[service]] tables.
+    :param file: Path of a file with [[zone]], [[policy]] and [[service]] tables.
     :param settings: Path of the operator's TOML file.
     :param change_id: Repeat it to resend a change whose answer was lost.
-    :param allow_last_zone_out: Take out even the last availability zone.
+    :param allow_last_zone_out: Allow taking out the last availability zone.
     :param output: text or json.
     """
     resources = plumbing.read_resources(file)
@@ -118,10 +119,10 @@
     settings: str,
     output: Output = "text",
 ):
-    """Print what is in force.
+    """Print the resources, targets and shards in force.
 
-    :param kind: zone, policy, service, target or shard; empty for all but shards.
-    :param name: Only the record of this name.
+    :param kind: zone, policy, service, target or shard; empty for all except shards.
+    :param name: Only the record with this name.
     :param settings: Path of the operator's TOML file.
     :param output: text or json.
     """
@@ -149,11 +150,11 @@
     until_version: int = 0,
     output: Output = "text",
 ):
-    """Stream every change from a version on, until interrupted.
+    """Stream all changes from a version on, until interrupted.
 
     :param settings: Path of the operator's TOML file.
-    :param from_version: 0 starts with all that is in force.
-    :param until_version: Stop once this version is in force; 0 goes on for ever.
+    :param from_version: Version to start from; 0 starts with everything in force.
+    :param until_version: Stop once this version is in force; 0 streams without end.
     :param output: text or json.
     """
     with _Client(settings) as client:
@@ -179,15 +180,16 @@
     limit: int = 20,
     output: Output = "text",
 ):
-    """Print why: recorded decisions about a service, a key, a resource, a request.
+    """Print recorded decisions about a service, key, resource or request, with causes.
 
     :param subject: A service, or a resource as Kind/name; empty for all.
     :param key: Only decisions about this key of the service.
     :param settings: Path of the operator's TOML file.
-    :param decision: Only the decision of this id.
-    :param request: Why a daemon refused the request of this request id or decision id.
+    :param decision: Only the decision with this id.
+    :param request: Print why a daemon refused the request with this request id or
+        decision id.
     :param daemon: HOST:PORT of that daemon's metrics page, with --request.
-    :param limit: Most decisions printed.
+    :param limit: Maximum number of decisions printed.
     :param output: text or json.
     """
     if request:
@@ -216,11 +218,11 @@
 
 
 def trace(request: str, *logs: str, near: bool = False, output: Output = "text"):
-    """Print what became of a request, from the collected logs of a fleet.
+    """Print the log lines of a request, from the collected logs of a fleet.
 
     :param request: The attempt id that the caller sent.
     :param logs: Log files of all daemons and control VMs; - for standard input.
-    :param near: Also what else was decided around that time.
+    :param near: Also print other decisions from around that time.
     :param output: text or json.
     """
     found = _trace.trace(
@@ -233,7 +235,7 @@
 
 
 def losses(*logs: str, output: Output = "text"):
-    """Print what callers did not get in time and why, by route, from a fleet's logs.
+    """Print failed, refused and late requests by route and cause, from a fleet's logs.
 
     :param logs: Log files of all daemons; - for standard input.
     :param output: text or json.
@@ -243,7 +245,7 @@
 
 
 def status(*, settings: str, output: Output = "text"):
-    """Print what each control VM says of the group.
+    """Print the status of the control group as reported by each control VM.
 
     :param settings: Path of the operator's TOML file.
     :param output: text or json.
@@ -274,7 +276,8 @@
 ):
     """Add a control VM to the group, as a learner without a vote.
 
-    :param name: A name that no member has had; one that lost its folder takes another.
+    :param name: A name that no member has had. A control VM that lost its data folder
+        needs a new name.
     :param host: Its IP address.
     :param port: Its TCP port for calls.
     :param lease_port: Its UDP port for lease renewals.
@@ -286,7 +289,7 @@
 
 
 def member_promote(name: str, *, settings: str, output: Output = "text"):
-    """Give a learner that has caught up its vote.
+    """Make a learner that has caught up a voter.
 
     :param name: Its name.
     :param settings: Path of the operator's TOML file.
@@ -316,7 +319,7 @@
 
 
 def check(file: str, *, role: Role):
-    """Check a settings file and start nothing.
+    """Check a settings file without starting anything.
 
     :param file: Path of the TOML file.
     :param role: daemon, control or operator.
@@ -326,7 +329,7 @@
 
 
 class _Client:
-    """The calls to the control VMs of an operator's settings file."""
+    """Context manager for calls to the control VMs of an operator's settings file."""
 
     def __init__(self, settings_path):
         settings = load_settings(settings_path, OperatorSettings)
@@ -343,7 +346,7 @@
 
 @contextlib.contextmanager
 def _naming(path):
-    """Name the settings file in the error of a port that is taken."""
+    """Add the path of the settings file to a PORT_TAKEN error."""
     try:
         yield
     except TamarackhavenError as error:
--- a/tests/test_porcelain.py
+++ b/tests/test_porcelain.py
@@ -1,4 +1,4 @@
-"""The commands are thin: what they pass on, and what they print."""
+"""What the commands send to the control group, and what they print."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class FakeClient:
-    """Notes the membership steps and answers all with one outcome."""
+    """Records the membership steps and answers each with the same outcome."""
 
     outcome = Outcome(version=12)
 
@@ -59,7 +59,7 @@
 
 
 def test_a_refused_member_command_raises_the_kind_of_the_refusal(settings, monkeypatch):
-    """A learner that has not caught up gets no vote; the operator is told to repeat."""
+    """A learner that hasn't caught up isn't promoted, and the operator must retry."""
     busy = Outcome(ErrorKind.MEMBERSHIP_BUSY.value, "not caught up", 0)
     monkeypatch.setattr(FakeClient, "outcome", busy)
     with pytest.raises(TamarackhavenError) as caught:
