--- a/tamarackhaven/__main__.py
+++ b/tamarackhaven/__main__.py
@@ -46,18 +46,18 @@
             argparse_kwargs={"prog": "tamarackhaven"},
         )
     except TamarackhavenError as error:
-        _fail(error)
+        _exit_with_error(error)
     except KeyboardInterrupt:
         sys.exit(0)
     except BrokenPipeError:
         sys.exit(0)
     except Exception as error:
-        _fail(
+        _exit_with_error(
             TamarackhavenError(ErrorKind.INTERNAL, f"{type(error).__name__}: {error}")
         )
 
 
-def _fail(error):
+def _exit_with_error(error):
     print(str(error), file=sys.stderr)
     sys.exit(error.answer.exit_code)
 
--- a/tamarackhaven/_loop.py
+++ b/tamarackhaven/_loop.py
@@ -42,14 +42,14 @@
 
     def stop(self):
         """Cancel all tasks, stop the loop and wait for its thread to end."""
-        self.submit(_cancel_others()).add_done_callback(
+        self.submit(_cancel_other_tasks()).add_done_callback(
             lambda _: self.loop.call_soon_threadsafe(self.loop.stop)
         )
         self._thread.join()
 
 
-async def _cancel_others():
-    others = asyncio.all_tasks() - {asyncio.current_task()}
-    for task in others:
+async def _cancel_other_tasks():
+    other_tasks = asyncio.all_tasks() - {asyncio.current_task()}
+    for task in other_tasks:
         task.cancel()
-    await asyncio.gather(*others, return_exceptions=True)
+    await asyncio.gather(*other_tasks, return_exceptions=True)
--- a/tamarackhaven/_process.py
+++ b/tamarackhaven/_process.py
@@ -14,16 +14,16 @@
 
 # Lines with the same sentence per minute. Under overload each refusal would write one;
 # beyond a hundred per second, counters provide the numbers.
-REPEATS_PER_MINUTE = 6000
-FLUSH_S = 0.25
+MAX_REPEATS_PER_MINUTE = 6000
+LOG_FLUSH_INTERVAL_S = 0.25
 # The settings file may also change without a SIGHUP.
-REREAD_S = 2.0
+SETTINGS_CHECK_INTERVAL_S = 2.0
 
 
 def open_log(prefix, name):
     """Return the ``Log`` of the process ``name`` and the ``JsonLines`` it writes to."""
     lines = JsonLines(vm=name)
-    return Log(prefix, REPEATS_PER_MINUTE, boot_s, lines.write), lines
+    return Log(prefix, MAX_REPEATS_PER_MINUTE, boot_s, lines.write), lines
 
 
 def run_process(main):
@@ -49,7 +49,7 @@
 async def keep_flushing(lines):
     """Flush buffered log lines periodically."""
     while True:
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
         lines.flush()
 
 
@@ -77,7 +77,7 @@
 async def keep_rereading(path, owner, log):
     """Call ``reload_settings`` periodically."""
     while True:
-        await asyncio.sleep(REREAD_S)
+        await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
         reload_settings(path, owner, log)
 
 
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -32,7 +32,7 @@
     from tamarackhaven._daemon_process import DaemonProcess
 
     stop = _stop_event()
-    with _naming(settings):
+    with _path_in_port_errors(settings):
         process = DaemonProcess(load_settings(settings, DaemonSettings))
     process.start()
     stop.wait()
@@ -50,7 +50,7 @@
     from tamarackhaven._control_process import run_control
 
     loaded = load_settings(settings, ControlSettings)
-    with _naming(settings):
+    with _path_in_port_errors(settings):
         run_control(loaded, first_start, _stop_event())
 
 
@@ -72,16 +72,16 @@
     """
     resources = plumbing.read_resources(file)
     change_id = change_id or plumbing.new_change_id()
-    with _Client(settings) as client:
+    with _ControlSession(settings) as session:
         for resource in resources:
             applied = plumbing.apply_resource(
-                client.calls,
+                session.calls,
                 resource,
                 f"{change_id}/{type(resource).__name__}/{resource.name}",
-                client.timeout_s,
+                session.timeout_s,
                 allow_last_zone_out,
             )
-            _print(applied, output, _applied_text(applied))
+            _print_record(applied, output, _applied_text(applied))
 
 
 def delete(
@@ -101,15 +101,15 @@
     :param output: text or json.
     """
     resource_kind = plumbing.resource_class_named(kind)
-    with _Client(settings) as client:
+    with _ControlSession(settings) as session:
         applied = plumbing.delete_resource(
-            client.calls,
+            session.calls,
             resource_kind,
             name,
             change_id or plumbing.new_change_id(),
-            client.timeout_s,
+            session.timeout_s,
         )
-    _print(applied, output, _applied_text(applied))
+    _print_record(applied, output, _applied_text(applied))
 
 
 def get(
@@ -131,14 +131,16 @@
         raise TamarackhavenError(
             ErrorKind.USAGE, f"{kind!r} is not one of {', '.join(kinds)}."
         )
-    with _Client(settings) as client:
-        _, found = plumbing.records(client.calls, client.timeout_s)
+    with _ControlSession(settings) as session:
+        _, found = plumbing.records(session.calls, session.timeout_s)
     shown = 0
     for record in found:
-        wanted = isinstance(record, kinds[kind]) if kind else _is_listed(record)
-        if wanted and name in ("", _name(record)):
+        is_selected = (
+            isinstance(record, kinds[kind]) if kind else _is_listed_by_default(record)
+        )
+        if is_selected and name in ("", _record_name(record)):
             shown += 1
-            _print(record, output, str(record))
+            _print_record(record, output, str(record))
     if name and not shown:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{kind} {name!r}")
 
@@ -157,13 +159,13 @@
     :param until_version: Stop once this version is in force; 0 streams without end.
     :param output: text or json.
     """
-    with _Client(settings) as client:
-        for feed in client.calls.watch(from_version, client.timeout_s):
+    with _ControlSession(settings) as session:
+        for feed in session.calls.watch(from_version, session.timeout_s):
             if feed.snapshot:
                 line = {"version": feed.version, "snapshot": True}
-                _print_line(line, output, f"{feed.version} snapshot")
+                _print_output(line, output, f"{feed.version} snapshot")
             for event in feed.events:
-                _print(event, output, f"{event.version} {event}")
+                _print_record(event, output, f"{event.version} {event}")
             sys.stdout.flush()
             if until_version and feed.version >= until_version:
                 return
@@ -195,13 +197,13 @@
     if request:
         _explain_request(request, daemon, output)
         return
-    with _Client(settings) as client:
-        decisions = client.calls.explain(
-            subject, key, decision, limit, client.timeout_s
+    with _ControlSession(settings) as session:
+        decisions = session.calls.explain(
+            subject, key, decision, limit, session.timeout_s
         )
     for row in decisions:
         text = f"{row.decision_id} {row.subject}: {row.cause}: {row.result}"
-        _print(row, output, text)
+        _print_record(row, output, text)
     if decision and not decisions:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"decision {decision!r}")
 
@@ -212,7 +214,7 @@
     refusals = plumbing.refusals_of(daemon, request)
     for row in refusals:
         text = f"{row.at_unix_s:.3f} {row.code} {row.name}: {row.detail} "
-        _print(row, output, f"{text}(map version {row.map_version})")
+        _print_record(row, output, f"{text}(map version {row.map_version})")
     if not refusals:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
 
@@ -231,7 +233,7 @@
     if not found:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
     for line in found:
-        _print(line, output, line.text)
+        _print_record(line, output, line.text)
 
 
 def losses(*logs: str, output: Output = "text"):
@@ -241,7 +243,7 @@
     :param output: text or json.
     """
     for loss in _losses.losses(_trace.read_lines(plumbing.read_log_lines(logs))):
-        _print(loss, output, loss.text)
+        _print_record(loss, output, loss.text)
 
 
 def status(*, settings: str, output: Output = "text"):
@@ -251,16 +253,16 @@
     :param output: text or json.
     """
     answered = 0
-    with _Client(settings) as client:
-        for member in client.members:
+    with _ControlSession(settings) as session:
+        for member in session.members:
             try:
-                row = client.calls.status(member, client.timeout_s / 5)
+                row = session.calls.status(member, session.timeout_s / 5)
             except TamarackhavenError as error:
                 print(str(error), file=sys.stderr)
                 continue
             answered += 1
             text = f"{row.member} {row.role} term {row.term} applied {row.applied}"
-            _print(row, output, f"{text} leader {row.leader or 'unknown'}")
+            _print_record(row, output, f"{text} leader {row.leader or 'unknown'}")
     if not answered:
         raise TamarackhavenError(ErrorKind.CONTROL_UNREACHABLE)
 
@@ -311,11 +313,11 @@
 
 
 def _change_membership(step, result, settings, output):
-    with _Client(settings) as client:
+    with _ControlSession(settings) as session:
         applied = plumbing.change_membership(
-            client.calls, step, result, client.timeout_s
+            session.calls, step, result, session.timeout_s
         )
-    _print(applied, output, _applied_text(applied))
+    _print_record(applied, output, _applied_text(applied))
 
 
 def check(file: str, *, role: Role):
@@ -328,7 +330,7 @@
     print(f"{file}: ok")
 
 
-class _Client:
+class _ControlSession:
     """Context manager for calls to the control VMs of an operator's settings file."""
 
     def __init__(self, settings_path):
@@ -345,7 +347,7 @@
 
 
 @contextlib.contextmanager
-def _naming(path):
+def _path_in_port_errors(path):
     """Add the path of the settings file to a PORT_TAKEN error."""
     try:
         yield
@@ -362,11 +364,11 @@
     return stop
 
 
-def _is_listed(record):
+def _is_listed_by_default(record):
     return not isinstance(record, ShardGrant)
 
 
-def _name(record):
+def _record_name(record):
     if isinstance(record, ShardGrant):
         return f"{record.service}/{record.shard}"
     if isinstance(record, TargetMember):
@@ -378,9 +380,9 @@
     return f"{applied.kind} {applied.name}: {applied.result}, version {applied.version}"
 
 
-def _print(record, output, text):
-    _print_line(_codec.to_plain(record), output, text)
+def _print_record(record, output, text):
+    _print_output(_codec.to_plain(record), output, text)
 
 
-def _print_line(plain, output, text):
+def _print_output(plain, output, text):
     print(json.dumps(plain, sort_keys=True) if output == "json" else text)
--- a/tests/test_porcelain.py
+++ b/tests/test_porcelain.py
@@ -41,7 +41,7 @@
     return str(path)
 
 
-def test_member_commands_send_one_step_and_tell_its_version(settings, capsys):
+def test_member_commands_send_one_step_and_print_its_version(settings, capsys):
     porcelain.member_add("c4", "10.0.0.4", 7100, 7101, settings=settings)
     assert FakeClient.steps == [
         Step("add", Member("c4", "10.0.0.4", 7100, 7101, voter=False))
@@ -58,7 +58,7 @@
     ]
 
 
-def test_a_refused_member_command_raises_the_kind_of_the_refusal(settings, monkeypatch):
+def test_refused_member_command_raises_the_kind_of_the_refusal(settings, monkeypatch):
     """A learner that hasn't caught up isn't promoted, and the operator must retry."""
     busy = Outcome(ErrorKind.MEMBERSHIP_BUSY.value, "not caught up", 0)
     monkeypatch.setattr(FakeClient, "outcome", busy)
