--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A view, a lease and a small cluster of daemons with stand-in targets."""
+"""Fake view and lease, and daemons with stand-in targets in the test's process."""
 
 import contextlib
 import http.client
@@ -30,7 +30,7 @@
 
 
 class FakeView:
-    """Shards by number; every shard belongs to ``default`` unless set otherwise."""
+    """A view with the grants that a test sets; other shards have no owner."""
 
     def __init__(self, service=SERVICE, mode=PolicyMode.EXCLUSIVE):
         self.service = service
@@ -97,7 +97,7 @@
 
 
 class Node:
-    """A daemon with its stand-in target, in this process."""
+    """A daemon and its stand-in target, both in this process."""
 
     def __init__(self, view, target="t1", standin=None, **changes):
         self.view = view
@@ -170,7 +170,7 @@
 
 
 def ask(port, method="GET", path="/s/k", body=None, **headers):
-    """Send one request; header names are given with underscores."""
+    """Send one request; underscores in header names are replaced by hyphens."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
     try:
         names = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -183,7 +183,7 @@
 
 
 def booking(key="b1", **more):
-    """Return the headers of a booking first sent now."""
+    """Return the headers of a booking that is first sent now."""
     return {
         "Idempotency_Key": key,
         "Tamarackhaven_First_Sent": f"{time.time():.6f}",
@@ -191,7 +191,7 @@
 
 
 def wait_for(condition, limit_s=20.0):
-    """Wait until ``condition`` is true; fail after a wide bound."""
+    """Wait until ``condition()`` is true; fail after ``limit_s`` seconds."""
     until_s = time.monotonic() + limit_s
     while not condition():
         assert time.monotonic() < until_s, "condition never became true"
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -1,4 +1,4 @@
-"""Golden files: whole sessions as text that a person can read and review."""
+"""Golden files: expected transcripts of whole sessions, as reviewable text."""
 
 import os
 import pathlib
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,6 +1,6 @@
-"""The pages must not lag: docs/OPERATING.md names all that there is, links resolve.
+"""docs/OPERATING.md covers all settings, commands, metrics and errors; links resolve.
 
-The table of errors stands between two marks and is written anew with UPDATE_GOLDEN=1.
+The table of errors is between two markers; UPDATE_GOLDEN=1 regenerates it.
 """
 
 import ast
@@ -37,7 +37,7 @@
 
 
 def error_table():
-    """Return the table of the page, one row an error kind."""
+    """Return the Markdown table of errors, one row per error kind."""
     lines = [
         "| Code | Name | HTTP | Exit | Ran | Repeat | Sentence |",
         "|---|---|---|---|---|---|---|",
@@ -75,7 +75,7 @@
 
 
 def setting_cells(field):
-    """Return the cells of one setting but for its meaning."""
+    """Return the table cells of one setting, except its description."""
     low, high = _bound(field, ">="), _bound(field, "<=")
     if low is not None:
         values = f"{low} to {high}"
@@ -94,7 +94,7 @@
 
 
 def metric_names():
-    """Return all metric names in the code, with the parts made up at run time."""
+    """Return all metric names in the code, including those composed at run time."""
     names = set(METRIC.findall(Metrics().page()))
     prefixes = set()
     for path in (ROOT / "tamarackhaven").glob("*.py"):
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -1,7 +1,7 @@
-"""Decision modules take time and randomness as arguments and do no input or output.
+"""Decision modules get time and randomness as arguments and perform no I/O.
 
-A decision that reads a clock can't be tested at the moment that matters, and one that
-draws its own random numbers can't be repeated.
+A decision that reads a clock can't be tested at a chosen time, and one that draws its
+own random numbers can't be reproduced.
 """
 
 import ast
@@ -30,12 +30,12 @@
     "_retry _retry_after _rules _seams _shared_pool _state _target_loads _trace "
     "_verify errors"
 )
-# They hold data or translate it, and decide nothing under load.
+# Modules that define or convert data and make no decisions under load.
 FREE_OF_INPUT_TOO = _names("_codec _settings")
 
 
 def imports(name):
-    """Return the modules that a module imports, anywhere in it."""
+    """Return the names of all modules that a module imports, also inside functions."""
     found = set()
     for node in ast.walk(ast.parse((FOLDER / f"{name}.py").read_text())):
         if isinstance(node, ast.Import):
