--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -39,8 +39,8 @@
         self.grant_by_shard = {}
         self.version = 1
 
-    def grant(self, shard, owner, grant, **more):
-        record = ShardGrant(self.service.name, shard, owner, 1, grant, **more)
+    def grant(self, shard, owner, grant, **extra):
+        record = ShardGrant(self.service.name, shard, owner, 1, grant, **extra)
         self.grant_by_shard[shard] = record
         self.version += 1
         return record
@@ -151,7 +151,7 @@
 
 
 @attrs.frozen
-class Got:
+class ReceivedAnswer:
     status: int
     headers: dict
     body: bytes
@@ -173,21 +173,25 @@
     """Send one request; underscores in header names are replaced by hyphens."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
     try:
-        names = {name.replace("_", "-"): value for name, value in headers.items()}
-        connection.request(method, path, body, names)
+        hyphenated_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        connection.request(method, path, body, hyphenated_headers)
         response = connection.getresponse()
-        pairs = {name.lower(): value for name, value in response.getheaders()}
-        return Got(response.status, pairs, response.read())
+        response_headers = {
+            name.lower(): value for name, value in response.getheaders()
+        }
+        return ReceivedAnswer(response.status, response_headers, response.read())
     finally:
         connection.close()
 
 
-def booking(key="b1", **more):
+def booking(key="b1", **extra):
     """Return the headers of a booking that is first sent now."""
     return {
         "Idempotency_Key": key,
         "Tamarackhaven_First_Sent": f"{time.time():.6f}",
-    } | more
+    } | extra
 
 
 def wait_for(condition, limit_s=20.0):
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -3,13 +3,13 @@
 import os
 import pathlib
 
-FOLDER = pathlib.Path(__file__).parent / "golden"
+GOLDEN_FOLDER = pathlib.Path(__file__).parent / "golden"
 
 
 def check(name, text):
     """Compare ``text`` with the golden file, or rewrite it if UPDATE_GOLDEN is set."""
-    path = FOLDER / f"{name}.txt"
+    path = GOLDEN_FOLDER / f"{name}.txt"
     if os.environ.get("UPDATE_GOLDEN"):
-        FOLDER.mkdir(exist_ok=True)
+        GOLDEN_FOLDER.mkdir(exist_ok=True)
         path.write_text(text)
     assert text == path.read_text(), f"{path.name} differs; see UPDATE_GOLDEN"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -20,8 +20,8 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 PAGE = ROOT / "docs" / "OPERATING.md"
-START, END = "<!-- errors -->\n", "<!-- end of errors -->"
-UNIT_BY_ENDING = {
+TABLE_START, TABLE_END = "<!-- errors -->\n", "<!-- end of errors -->"
+UNIT_BY_SUFFIX = {
     "ms": "ms",
     "s": "s",
     "bytes": "bytes",
@@ -50,17 +50,17 @@
     return "\n".join(lines) + "\n"
 
 
-def _validators(validator):
+def _flat_validators(validator):
     parts = getattr(validator, "_validators", None)
     if parts is None:
         return [validator]
-    return [each for part in parts for each in _validators(part)]
+    return [nested for part in parts for nested in _flat_validators(part)]
 
 
 def _bound(field, sign):
-    for each in _validators(field.validator):
-        if getattr(each, "compare_op", "") == sign:
-            return each.bound
+    for validator in _flat_validators(field.validator):
+        if getattr(validator, "compare_op", "") == sign:
+            return validator.bound
     return None
 
 
@@ -76,21 +76,21 @@
 
 def setting_cells(field):
     """Return the table cells of one setting, except its description."""
-    low, high = _bound(field, ">="), _bound(field, "<=")
-    if low is not None:
-        values = f"{low} to {high}"
+    minimum, maximum = _bound(field, ">="), _bound(field, "<=")
+    if minimum is not None:
+        values = f"{minimum} to {maximum}"
     elif typing.get_origin(field.type) is list:
         values = "list of tables"
     else:
         values = NAME_BY_TYPE.get(field.type, "table")
-    unit = UNIT_BY_ENDING.get(field.name.rpartition("_")[2], "")
+    unit = UNIT_BY_SUFFIX.get(field.name.rpartition("_")[2], "")
     return f"| `{field.name}` | {unit} | {values} | {_default(field)} |"
 
 
 def settings_classes():
     """Return every settings class."""
     found = inspect.getmembers(_settings, inspect.isclass)
-    return [each for _, each in found if each.__module__ == _settings.__name__]
+    return [cls for _, cls in found if cls.__module__ == _settings.__name__]
 
 
 def metric_names():
@@ -119,7 +119,7 @@
     tree = ast.parse((ROOT / "tamarackhaven" / f"{module}.py").read_text())
     for node in ast.walk(tree):
         if isinstance(node, ast.FunctionDef) and node.name == function:
-            table = next(each for each in ast.walk(node) if isinstance(each, ast.Dict))
+            table = next(item for item in ast.walk(node) if isinstance(item, ast.Dict))
             return [key.value for key in table.keys]
     raise AssertionError(f"{module}.{function} is gone")
 
@@ -129,54 +129,56 @@
     return PAGE.read_text()
 
 
-def test_the_table_of_errors_is_that_of_the_code(page):
-    head, _, rest = page.partition(START)
-    table, _, tail = rest.partition(END)
+def test_error_table_matches_the_code(page):
+    head, _, rest = page.partition(TABLE_START)
+    table, _, tail = rest.partition(TABLE_END)
     if os.environ.get("UPDATE_GOLDEN"):
-        PAGE.write_text(head + START + error_table() + END + tail)
+        PAGE.write_text(head + TABLE_START + error_table() + TABLE_END + tail)
         return
     assert table == error_table()
 
 
-def test_every_setting_stands_with_its_range_and_default(page):
+def test_every_setting_is_documented_with_its_range_and_default(page):
     missing = [
-        f"{each.__name__}: {setting_cells(field)}"
-        for each in settings_classes()
-        for field in attrs.fields(attrs.resolve_types(each))
+        f"{settings_class.__name__}: {setting_cells(field)}"
+        for settings_class in settings_classes()
+        for field in attrs.fields(attrs.resolve_types(settings_class))
         if setting_cells(field) not in page
     ]
     assert not missing, missing
 
 
-def test_every_command_and_option_stands_in_a_section_of_its_own(page):
+def test_every_command_has_a_section_that_names_all_its_options(page):
     assert "`--version`" in page
     for command in COMMANDS:
         name = command.__name__.replace("_", "-")
         section = page.partition(f"\n### `{name}`")[2].partition("\n### ")[0]
         assert section, name
         for operand, parameter in inspect.signature(command).parameters.items():
-            option = parameter.kind is inspect.Parameter.KEYWORD_ONLY
-            shown = "--" + operand.replace("_", "-") if option else operand.upper()
-            assert shown in section, (name, shown)
+            is_option = parameter.kind is inspect.Parameter.KEYWORD_ONLY
+            documented_name = (
+                "--" + operand.replace("_", "-") if is_option else operand.upper()
+            )
+            assert documented_name in section, (name, documented_name)
 
 
-def test_every_metric_is_named(page):
+def test_documented_metrics_match_the_code(page):
     named = set(METRIC.findall(page))
     assert not metric_names() - named, metric_names() - named
     assert not {name for name in named - metric_names() if name[-1] != "_"}
 
 
-def test_every_link_and_module_that_a_page_names_exists():
+def test_links_and_module_names_in_pages_resolve():
     pages = [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
-    wrong = []
+    unresolved = []
     for path in pages:
         text = path.read_text()
         for link in re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", text):
             if not (path.parent / link).exists():
-                wrong.append((path.name, link))
+                unresolved.append((path.name, link))
         is_glossary = path.name == "GLOSSARY.md"
         pattern = r"`(_[a-z_0-9]+)`" if is_glossary else r"`(_[a-z_0-9]+)\.py`"
         for name in re.findall(pattern, text):
             if not (ROOT / "tamarackhaven" / f"{name}.py").exists():
-                wrong.append((path.name, name))
-    assert not wrong
+                unresolved.append((path.name, name))
+    assert not unresolved
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -12,15 +12,15 @@
 FOLDER = pathlib.Path(__file__).parents[1] / "tamarackhaven"
 
 
-def _names(text):
+def _split(text):
     return frozenset(text.split())
 
 
-FORBIDDEN = _names(
+FORBIDDEN_IMPORTS = _split(
     "socket select time datetime threading concurrent queue asyncio random logging os "
     "pathlib subprocess http waitress grpclib eliot secrets uuid"
 )
-PURE = _names(
+DECISION_MODULES = _split(
     "_answer _balance _changes _choice _cold_start _decisions _events _failure_points "
     "_fair_queue _fence_round _fetch_pace _gate _gate_messages _hedge _history "
     "_hot_keys _identify _keys _lease_holder _lease_promises _lease_times _lease_wire "
@@ -31,10 +31,10 @@
     "_verify errors"
 )
 # Modules that define or convert data and make no decisions under load.
-FREE_OF_INPUT_TOO = _names("_codec _settings")
+DATA_MODULES = _split("_codec _settings")
 
 
-def imports(name):
+def imported_modules(name):
     """Return the names of all modules that a module imports, also inside functions."""
     found = set()
     for node in ast.walk(ast.parse((FOLDER / f"{name}.py").read_text())):
@@ -47,11 +47,11 @@
     return found
 
 
-@pytest.mark.parametrize("name", sorted(PURE | FREE_OF_INPUT_TOO))
-def test_a_decision_module_is_pure(name):
-    allowed = PURE | FREE_OF_INPUT_TOO
-    for module in imports(name):
+@pytest.mark.parametrize("name", sorted(DECISION_MODULES | DATA_MODULES))
+def test_module_imports_no_io_clock_or_randomness(name):
+    allowed_modules = DECISION_MODULES | DATA_MODULES
+    for module in imported_modules(name):
         package, _, rest = module.partition(".")
-        assert package not in FORBIDDEN, module
+        assert package not in FORBIDDEN_IMPORTS, module
         if package == "tamarackhaven":
-            assert rest in allowed, f"{name} reaches {rest}, which is not pure"
+            assert rest in allowed_modules, f"{name} reaches {rest}, which is not pure"
