--- a/tamarackhaven/__main__.py
+++ b/tamarackhaven/__main__.py
@@ -1,4 +1,4 @@
-"""The one program: ``tamarackhaven SUBCOMMAND``."""
+"""The command line, ``tamarackhaven SUBCOMMAND``."""
 
 import sys
 
@@ -26,7 +26,18 @@
 
 
 def main(arguments=None):
-    """Run the subcommand named on the command line and exit with its code."""
+    """Run a subcommand; on an error print it and exit with its exit code.
+
+    Parameters
+    ----------
+    arguments : list of str or None
+        The command line without the program's name; None for ``sys.argv``.
+
+    Raises
+    ------
+    SystemExit
+        With the exit code of the error; 0 on an interrupt or a broken pipe.
+    """
     try:
         defopt.run(
             COMMANDS,
@@ -35,18 +46,18 @@
             argparse_kwargs={"prog": "tamarackhaven"},
         )
     except TamarackhavenError as error:
-        _fail(error)
+        _exit_with_error(error)
     except KeyboardInterrupt:
         sys.exit(0)
     except BrokenPipeError:
         sys.exit(0)
     except Exception as error:
-        _fail(
+        _exit_with_error(
             TamarackhavenError(ErrorKind.INTERNAL, f"{type(error).__name__}: {error}")
         )
 
 
-def _fail(error):
+def _exit_with_error(error):
     print(str(error), file=sys.stderr)
     sys.exit(error.answer.exit_code)
 
--- a/tamarackhaven/_logs.py
+++ b/tamarackhaven/_logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with the fixed prefix of their part, as JSON lines."""
+"""Structured logging with a fixed prefix per component and a limit on repeats."""
 
 import threading
 
@@ -6,14 +6,14 @@
 
 from tamarackhaven._clock import boot_s
 
-WINDOW_S = 60.0
-# Sentences are fixed texts in the code; this bounds the table should one not be.
-_MOST_SENTENCES = 1000
+REPEAT_WINDOW_S = 60.0
+# Sentences are constants, so there are few; this bounds memory if one is not.
+_MAX_SENTENCES = 1000
 
 
 @attrs.define
 class _Window:
-    """Lines with one sentence since ``start_s``."""
+    """Counts of the lines with one sentence since ``start_s``, in seconds."""
 
     start_s: float
     written: int = 0
@@ -21,47 +21,48 @@
 
 
 class Log:
-    """Writes the lines of one part.
+    """Writes the log lines of one component.
 
     Parameters
     ----------
     prefix : str
-        Name of the part, as ``gate``; each sentence starts with it.
+        Name of the component, such as ``gate``; each sentence starts with it.
     repeats_per_minute : int
-        Most lines with the same sentence in a minute.
+        Maximum number of lines with the same sentence in a minute.
     clock : callable
-        Returns seconds.
+        Returns the time in seconds.
     write : callable
-        Takes the fields of a line as keywords.
+        Called with the fields of a line as keyword arguments.
     """
 
     def __init__(self, prefix, repeats_per_minute=60, clock=boot_s, write=None):
         self.prefix = prefix
-        self._limit = repeats_per_minute
+        self._repeats_per_minute = repeats_per_minute
         self._clock = clock
         self._write = write or _write_eliot
         self._lock = threading.Lock()
         self._window_by_sentence = {}
 
     def part(self, prefix):
-        """Return the log of another part, with the same limits."""
-        return Log(prefix, self._limit, self._clock, self._write)
+        """Return the log of another component, with its own counts of repeats."""
+        return Log(prefix, self._repeats_per_minute, self._clock, self._write)
 
     def say(self, sentence, request_id="", decision_id="", **fields):
-        """Write one line unless its sentence stood too often in this minute.
+        """Write one line, unless its sentence reached the limit for this minute.
 
         Parameters
         ----------
         sentence : str
-            A fixed text; what varies goes into ``fields``.
+            A constant; variable data belongs into ``fields``.
         request_id, decision_id : str
-            On every line about a request.
+            The ids of the request that the line is about; omitted if empty.
         **fields
-            Whatever JSON can hold.
+            Values that can be encoded as JSON.
         """
-        # Under overload each refusal would write a line, and the disk and the lock
-        # would slow the requests that are still served. The count keeps the number.
-        dropped = self._admit(sentence)
+        # Under overload each refusal would write a line, and contention for the disk
+        # and the lock would slow the requests that are still served. The next line
+        # reports how many were dropped.
+        dropped = self._count_line(sentence)
         if dropped is None:
             return
         if request_id:
@@ -72,23 +73,23 @@
             fields["dropped_before"] = dropped
         self._write(sentence=f"{self.prefix}: {sentence}", part=self.prefix, **fields)
 
-    def _admit(self, sentence):
-        """Return how many lines were dropped before this one, None to drop it too."""
+    def _count_line(self, sentence):
+        """Return how many lines were dropped before this one; None if it is dropped."""
         now = self._clock()
         with self._lock:
             window = self._window_by_sentence.get(sentence)
-            if window is None or now - window.start_s >= WINDOW_S:
+            if window is None or now - window.start_s >= REPEAT_WINDOW_S:
                 dropped = window.dropped if window else 0
-                self._keep(sentence, _Window(now, written=1))
+                self._start_window(sentence, _Window(now, written=1))
                 return dropped
-            if window.written >= self._limit:
+            if window.written >= self._repeats_per_minute:
                 window.dropped += 1
                 return None
             window.written += 1
             return 0
 
-    def _keep(self, sentence, window):
-        if len(self._window_by_sentence) >= _MOST_SENTENCES:
+    def _start_window(self, sentence, window):
+        if len(self._window_by_sentence) >= _MAX_SENTENCES:
             self._window_by_sentence.clear()
         self._window_by_sentence[sentence] = window
 
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -1,6 +1,6 @@
-"""The library calls under the commands; programs may use them, too.
+"""Library functions that implement the commands and may be used by other programs.
 
-Everything raises ``TamarackhavenError`` and prints nothing.
+They print nothing and report errors as ``TamarackhavenError``.
 """
 
 import http.client
@@ -20,7 +20,7 @@
 
 HTTP_TIMEOUT_S = 5.0
 
-# In the order in which resources refer to one another.
+# Resources are applied in this order, because later kinds refer to earlier ones.
 KIND_BY_NAME = {
     "zone": AvailabilityZone,
     "policy": OwnershipPolicy,
@@ -34,8 +34,8 @@
     "apply_resource",
     "change_membership",
     "delete_resource",
-    "kind_named",
-    "log_lines",
+    "resource_class_named",
+    "read_log_lines",
     "new_change_id",
     "read_resources",
     "records",
@@ -45,7 +45,21 @@
 
 @attrs.frozen
 class Applied:
-    """What became of one resource: ``result`` is created, changed or unchanged."""
+    """Outcome of a change to one resource or member.
+
+    Parameters
+    ----------
+    kind, name : str
+        Kind and name of the resource; kind ``Member`` for a member of the control
+        group.
+    result : str
+        For a resource created, changed, unchanged or deleted; for a member the result
+        given to ``change_membership``.
+    version : int
+        Current version of the resource or of the membership.
+    change_id : str
+        Id of the change; empty for a member.
+    """
 
     kind: str
     name: str
@@ -55,17 +69,17 @@
 
 
 def new_change_id():
-    """Return a change id that nobody else has."""
+    """Return a new, globally unique change id."""
     return uuid.uuid4().hex
 
 
-def kind_named(name):
-    """Return the resource class that operators call ``name``.
+def resource_class_named(name):
+    """Return the resource class for the name of a kind, such as ``zone``.
 
     Raises
     ------
     TamarackhavenError
-        USAGE if there is none.
+        USAGE if there is no such kind.
     """
     kind = KIND_BY_NAME.get(name)
     if kind is None:
@@ -75,7 +89,7 @@
 
 
 def read_resources(path):
-    """Return the resources of a TOML file, in the order to apply them.
+    """Return the resources in a TOML file, in the order in which to apply them.
 
     The file has tables ``[[zone]]``, ``[[policy]]`` and ``[[service]]``.
 
@@ -103,9 +117,9 @@
         if key not in known:
             detail = f"{path}: {name} has no {key!r}."
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
-        wanted = known[key].type
-        if wanted in (int, str) and type(value) is not wanted:
-            detail = f"{path}: {name}.{key} must be {_type_name(wanted)}."
+        expected_type = known[key].type
+        if expected_type in (int, str) and type(value) is not expected_type:
+            detail = f"{path}: {name}.{key} must be {_type_name(expected_type)}."
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
     try:
         return _codec.from_plain(row, kind)
@@ -114,12 +128,12 @@
         raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail) from error
 
 
-def _type_name(wanted):
-    return "a whole number" if wanted is int else "a text"
+def _type_name(expected_type):
+    return "a whole number" if expected_type is int else "a string"
 
 
 def records(client, timeout_s, linearizable=True):
-    """Return the version and all records in force: resources, targets and grants."""
+    """Return the state's version and its resources, targets and grants, as a list."""
     feed = client.fetch(0, timeout_s, linearizable)
     found = []
     for event in feed.events:
@@ -135,30 +149,36 @@
 def apply_resource(client, resource, change_id, timeout_s, allow_last_zone_out=False):
     """Create or change one resource and return ``Applied``.
 
-    A resource that names a ``version`` is changed only if that is the present one.
-    Without it, the version read here is taken: of two racing operators one then gets
-    a conflict, and none overwrites what it has not seen.
+    A resource with a ``version`` is changed only if that is the current version. If it
+    has none, the version read here is expected: of two concurrent operators one gets a
+    conflict, and neither overwrites a change that it hasn't read.
 
     Raises
     ------
     TamarackhavenError
-        With the kind of the refusal.
+        With the error kind of the refusal.
     """
-    old = _present(client, type(resource), resource.name, timeout_s)
+    old = _find_current(client, type(resource), resource.name, timeout_s)
     kind = type(resource).__name__
     expected = resource.version or (old.version if old else 0)
-    wanted = attrs.evolve(resource, version=0)
-    if old and expected == old.version and attrs.evolve(old, version=0) == wanted:
+    desired = attrs.evolve(resource, version=0)
+    if old and expected == old.version and attrs.evolve(old, version=0) == desired:
         return Applied(kind, resource.name, "unchanged", old.version, change_id)
-    change = PutResource(change_id, wanted, expected, allow_last_zone_out)
+    change = PutResource(change_id, desired, expected, allow_last_zone_out)
     outcome = checked(client.change(change, timeout_s))
     result = "changed" if expected else "created"
     return Applied(kind, resource.name, result, outcome.version, change_id)
 
 
 def delete_resource(client, kind, name, change_id, timeout_s):
-    """Delete one resource and return ``Applied``."""
-    old = _present(client, kind, name, timeout_s)
+    """Delete one resource and return ``Applied``.
+
+    Raises
+    ------
+    TamarackhavenError
+        NOT_FOUND if it doesn't exist; else the error kind of the refusal.
+    """
+    old = _find_current(client, kind, name, timeout_s)
     if old is None:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{kind.__name__} {name!r}")
     change = DeleteResource(change_id, kind.__name__, name, old.version)
@@ -167,38 +187,42 @@
 
 
 def change_membership(client, step, result, timeout_s):
-    """Carry out one ``Step`` in the control group and return ``Applied``.
+    """Apply one membership ``Step`` to the control group and return ``Applied``.
 
     Raises
     ------
     TamarackhavenError
-        MEMBERSHIP_BUSY for a learner that has not caught up; else the refusal's kind.
+        MEMBERSHIP_BUSY for a learner that has not caught up; else the error kind of
+        the refusal.
     """
     outcome = checked(client.change_membership(step, timeout_s))
     return Applied("Member", step.member.name, result, outcome.version, "")
 
 
-def refusals_of(address, an_id):
+def refusals_of(address, request_or_decision_id):
     """Return the refusals that a daemon recorded for a request id or decision id.
 
     Parameters
     ----------
     address : str
-        ``HOST:PORT`` of the daemon's metrics page.
-    an_id : str
-        The id.
+        ``HOST:PORT`` of the daemon's metrics server.
+    request_or_decision_id : str
+        The request id or decision id.
 
     Raises
     ------
     TamarackhavenError
-        USAGE if the address is none, OWNER_UNREACHABLE if no daemon answers there.
+        USAGE if the address is not HOST:PORT, OWNER_UNREACHABLE if no daemon answers
+        there within ``HTTP_TIMEOUT_S``.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise TamarackhavenError(ErrorKind.USAGE, f"{address!r} is not HOST:PORT.")
     connection = http.client.HTTPConnection(host, int(port), timeout=HTTP_TIMEOUT_S)
     try:
-        connection.request("GET", REFUSALS_PATH + quote(an_id, safe=""))
+        connection.request(
+            "GET", REFUSALS_PATH + quote(request_or_decision_id, safe="")
+        )
         return _codec.loads(connection.getresponse().read(), list[Refusal])
     except (OSError, http.client.HTTPException) as error:
         raise TamarackhavenError(
@@ -209,13 +233,19 @@
 
 
 def checked(outcome):
-    """Return an ``Outcome`` that was applied; raise the error of another one."""
+    """Return an ``Outcome`` if it was applied, else raise its error.
+
+    Raises
+    ------
+    TamarackhavenError
+        With the code and detail of the outcome.
+    """
     if outcome.code:
         raise TamarackhavenError(ErrorKind(outcome.code), outcome.detail)
     return outcome
 
 
-def _present(client, kind, name, timeout_s):
+def _find_current(client, kind, name, timeout_s):
     _, found = records(client, timeout_s)
     for record in found:
         if type(record) is kind and record.name == name:
@@ -223,13 +253,13 @@
     return None
 
 
-def log_lines(paths):
-    """Return the lines of log files as an iterator; ``-`` is standard input.
+def read_log_lines(paths):
+    """Iterate over the lines of log files; the path ``-`` is standard input.
 
     Raises
     ------
     TamarackhavenError
-        NOT_FOUND, naming a file that can't be read.
+        NOT_FOUND if a file can't be read; the detail names it.
     """
     for path in paths:
         try:
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -1,4 +1,4 @@
-"""The commands: a thin layer over ``plumbing`` that prints for people or programs."""
+"""The commands: a thin layer over ``plumbing`` that prints text or JSON."""
 
 import contextlib
 import json
@@ -25,14 +25,14 @@
 
 
 def daemon(*, settings: str):
-    """Run the daemon beside a target until SIGTERM.
+    """Run the daemon next to a target until SIGTERM.
 
     :param settings: Path of the daemon's TOML file.
     """
     from tamarackhaven._daemon_process import DaemonProcess
 
     stop = _stop_event()
-    with _naming(settings):
+    with _path_in_port_errors(settings):
         process = DaemonProcess(load_settings(settings, DaemonSettings))
     process.start()
     stop.wait()
@@ -43,13 +43,14 @@
     """Run a control VM until SIGTERM.
 
     :param settings: Path of the control VM's TOML file.
-    :param first_start: Start a new group. Only for the very first start: an empty data
-        folder without it is a lost one, and a member that lost its folder may not vote.
+    :param first_start: Start a new group. Use only for the very first start. Without it
+        an empty data folder counts as lost, and a member that lost its data folder may
+        not vote.
     """
     from tamarackhaven._control_process import run_control
 
     loaded = load_settings(settings, ControlSettings)
-    with _naming(settings):
+    with _path_in_port_errors(settings):
         run_control(loaded, first_start, _stop_event())
 
 
@@ -61,26 +62,26 @@
     allow_last_zone_out: bool = False,
     output: Output = "text",
 ):
-    """Create or change the resources of a TOML file.
+    """Create or change the resources in a TOML file.
 
-    :param file: Path of the file with [[zone]], [[policy]] and [[service]] tables.
+    :param file: Path of a file with [[zone]], [[policy]] and [[service]] tables.
     :param settings: Path of the operator's TOML file.
     :param change_id: Repeat it to resend a change whose answer was lost.
-    :param allow_last_zone_out: Take out even the last availability zone.
+    :param allow_last_zone_out: Allow taking out the last availability zone.
     :param output: text or json.
     """
     resources = plumbing.read_resources(file)
     change_id = change_id or plumbing.new_change_id()
-    with _Client(settings) as client:
+    with _ControlSession(settings) as session:
         for resource in resources:
             applied = plumbing.apply_resource(
-                client.calls,
+                session.calls,
                 resource,
                 f"{change_id}/{type(resource).__name__}/{resource.name}",
-                client.timeout_s,
+                session.timeout_s,
                 allow_last_zone_out,
             )
-            _print(applied, output, _applied_text(applied))
+            _print_record(applied, output, _applied_text(applied))
 
 
 def delete(
@@ -99,16 +100,16 @@
     :param change_id: Repeat it to resend a change whose answer was lost.
     :param output: text or json.
     """
-    resource_kind = plumbing.kind_named(kind)
-    with _Client(settings) as client:
+    resource_kind = plumbing.resource_class_named(kind)
+    with _ControlSession(settings) as session:
         applied = plumbing.delete_resource(
-            client.calls,
+            session.calls,
             resource_kind,
             name,
             change_id or plumbing.new_change_id(),
-            client.timeout_s,
+            session.timeout_s,
         )
-    _print(applied, output, _applied_text(applied))
+    _print_record(applied, output, _applied_text(applied))
 
 
 def get(
@@ -118,10 +119,10 @@
     settings: str,
     output: Output = "text",
 ):
-    """Print what is in force.
+    """Print the resources, targets and shards in force.
 
-    :param kind: zone, policy, service, target or shard; empty for all but shards.
-    :param name: Only the record of this name.
+    :param kind: zone, policy, service, target or shard; empty for all except shards.
+    :param name: Only the record with this name.
     :param settings: Path of the operator's TOML file.
     :param output: text or json.
     """
@@ -130,14 +131,16 @@
         raise TamarackhavenError(
             ErrorKind.USAGE, f"{kind!r} is not one of {', '.join(kinds)}."
         )
-    with _Client(settings) as client:
-        _, found = plumbing.records(client.calls, client.timeout_s)
+    with _ControlSession(settings) as session:
+        _, found = plumbing.records(session.calls, session.timeout_s)
     shown = 0
     for record in found:
-        wanted = isinstance(record, kinds[kind]) if kind else _is_listed(record)
-        if wanted and name in ("", _name(record)):
+        is_selected = (
+            isinstance(record, kinds[kind]) if kind else _is_listed_by_default(record)
+        )
+        if is_selected and name in ("", _record_name(record)):
             shown += 1
-            _print(record, output, str(record))
+            _print_record(record, output, str(record))
     if name and not shown:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"{kind} {name!r}")
 
@@ -149,20 +152,20 @@
     until_version: int = 0,
     output: Output = "text",
 ):
-    """Stream every change from a version on, until interrupted.
+    """Stream all changes from a version on, until interrupted.
 
     :param settings: Path of the operator's TOML file.
-    :param from_version: 0 starts with all that is in force.
-    :param until_version: Stop once this version is in force; 0 goes on for ever.
+    :param from_version: Version to start from; 0 starts with everything in force.
+    :param until_version: Stop once this version is in force; 0 streams without end.
     :param output: text or json.
     """
-    with _Client(settings) as client:
-        for feed in client.calls.watch(from_version, client.timeout_s):
+    with _ControlSession(settings) as session:
+        for feed in session.calls.watch(from_version, session.timeout_s):
             if feed.snapshot:
                 line = {"version": feed.version, "snapshot": True}
-                _print_line(line, output, f"{feed.version} snapshot")
+                _print_output(line, output, f"{feed.version} snapshot")
             for event in feed.events:
-                _print(event, output, f"{event.version} {event}")
+                _print_record(event, output, f"{event.version} {event}")
             sys.stdout.flush()
             if until_version and feed.version >= until_version:
                 return
@@ -179,27 +182,28 @@
     limit: int = 20,
     output: Output = "text",
 ):
-    """Print why: recorded decisions about a service, a key, a resource, a request.
+    """Print recorded decisions about a service, key, resource or request, with causes.
 
     :param subject: A service, or a resource as Kind/name; empty for all.
     :param key: Only decisions about this key of the service.
     :param settings: Path of the operator's TOML file.
-    :param decision: Only the decision of this id.
-    :param request: Why a daemon refused the request of this request id or decision id.
+    :param decision: Only the decision with this id.
+    :param request: Print why a daemon refused the request with this request id or
+        decision id.
     :param daemon: HOST:PORT of that daemon's metrics page, with --request.
-    :param limit: Most decisions printed.
+    :param limit: Maximum number of decisions printed.
     :param output: text or json.
     """
     if request:
         _explain_request(request, daemon, output)
         return
-    with _Client(settings) as client:
-        decisions = client.calls.explain(
-            subject, key, decision, limit, client.timeout_s
+    with _ControlSession(settings) as session:
+        decisions = session.calls.explain(
+            subject, key, decision, limit, session.timeout_s
         )
     for row in decisions:
         text = f"{row.decision_id} {row.subject}: {row.cause}: {row.result}"
-        _print(row, output, text)
+        _print_record(row, output, text)
     if decision and not decisions:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"decision {decision!r}")
 
@@ -210,53 +214,55 @@
     refusals = plumbing.refusals_of(daemon, request)
     for row in refusals:
         text = f"{row.at_unix_s:.3f} {row.code} {row.name}: {row.detail} "
-        _print(row, output, f"{text}(map version {row.map_version})")
+        _print_record(row, output, f"{text}(map version {row.map_version})")
     if not refusals:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
 
 
 def trace(request: str, *logs: str, near: bool = False, output: Output = "text"):
-    """Print what became of a request, from the collected logs of a fleet.
+    """Print the log lines of a request, from the collected logs of a fleet.
 
     :param request: The attempt id that the caller sent.
     :param logs: Log files of all daemons and control VMs; - for standard input.
-    :param near: Also what else was decided around that time.
+    :param near: Also print other decisions from around that time.
     :param output: text or json.
     """
-    found = _trace.trace(_trace.read_lines(plumbing.log_lines(logs)), request, near)
+    found = _trace.trace(
+        _trace.read_lines(plumbing.read_log_lines(logs)), request, near
+    )
     if not found:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
     for line in found:
-        _print(line, output, line.text)
+        _print_record(line, output, line.text)
 
 
 def losses(*logs: str, output: Output = "text"):
-    """Print what callers did not get in time and why, by route, from a fleet's logs.
+    """Print failed, refused and late requests by route and cause, from a fleet's logs.
 
     :param logs: Log files of all daemons; - for standard input.
     :param output: text or json.
     """
-    for loss in _losses.losses(_trace.read_lines(plumbing.log_lines(logs))):
-        _print(loss, output, loss.text)
+    for loss in _losses.losses(_trace.read_lines(plumbing.read_log_lines(logs))):
+        _print_record(loss, output, loss.text)
 
 
 def status(*, settings: str, output: Output = "text"):
-    """Print what each control VM says of the group.
+    """Print the status of the control group as reported by each control VM.
 
     :param settings: Path of the operator's TOML file.
     :param output: text or json.
     """
     answered = 0
-    with _Client(settings) as client:
-        for member in client.members:
+    with _ControlSession(settings) as session:
+        for member in session.members:
             try:
-                row = client.calls.status(member, client.timeout_s / 5)
+                row = session.calls.status(member, session.timeout_s / 5)
             except TamarackhavenError as error:
                 print(str(error), file=sys.stderr)
                 continue
             answered += 1
             text = f"{row.member} {row.role} term {row.term} applied {row.applied}"
-            _print(row, output, f"{text} leader {row.leader or 'unknown'}")
+            _print_record(row, output, f"{text} leader {row.leader or 'unknown'}")
     if not answered:
         raise TamarackhavenError(ErrorKind.CONTROL_UNREACHABLE)
 
@@ -272,7 +278,8 @@
 ):
     """Add a control VM to the group, as a learner without a vote.
 
-    :param name: A name that no member has had; one that lost its folder takes another.
+    :param name: A name that no member has had. A control VM that lost its data folder
+        needs a new name.
     :param host: Its IP address.
     :param port: Its TCP port for calls.
     :param lease_port: Its UDP port for lease renewals.
@@ -284,7 +291,7 @@
 
 
 def member_promote(name: str, *, settings: str, output: Output = "text"):
-    """Give a learner that has caught up its vote.
+    """Make a learner that has caught up a voter.
 
     :param name: Its name.
     :param settings: Path of the operator's TOML file.
@@ -306,15 +313,15 @@
 
 
 def _change_membership(step, result, settings, output):
-    with _Client(settings) as client:
+    with _ControlSession(settings) as session:
         applied = plumbing.change_membership(
-            client.calls, step, result, client.timeout_s
+            session.calls, step, result, session.timeout_s
         )
-    _print(applied, output, _applied_text(applied))
+    _print_record(applied, output, _applied_text(applied))
 
 
 def check(file: str, *, role: Role):
-    """Check a settings file and start nothing.
+    """Check a settings file without starting anything.
 
     :param file: Path of the TOML file.
     :param role: daemon, control or operator.
@@ -323,8 +330,8 @@
     print(f"{file}: ok")
 
 
-class _Client:
-    """The calls to the control VMs of an operator's settings file."""
+class _ControlSession:
+    """Context manager for calls to the control VMs of an operator's settings file."""
 
     def __init__(self, settings_path):
         settings = load_settings(settings_path, OperatorSettings)
@@ -340,8 +347,8 @@
 
 
 @contextlib.contextmanager
-def _naming(path):
-    """Name the settings file in the error of a port that is taken."""
+def _path_in_port_errors(path):
+    """Add the path of the settings file to a PORT_TAKEN error."""
     try:
         yield
     except TamarackhavenError as error:
@@ -357,11 +364,11 @@
     return stop
 
 
-def _is_listed(record):
+def _is_listed_by_default(record):
     return not isinstance(record, ShardGrant)
 
 
-def _name(record):
+def _record_name(record):
     if isinstance(record, ShardGrant):
         return f"{record.service}/{record.shard}"
     if isinstance(record, TargetMember):
@@ -373,9 +380,9 @@
     return f"{applied.kind} {applied.name}: {applied.result}, version {applied.version}"
 
 
-def _print(record, output, text):
-    _print_line(_codec.to_plain(record), output, text)
+def _print_record(record, output, text):
+    _print_output(_codec.to_plain(record), output, text)
 
 
-def _print_line(plain, output, text):
+def _print_output(plain, output, text):
     print(json.dumps(plain, sort_keys=True) if output == "json" else text)
