--- a/tamarackhaven/net/_body_budget.py
+++ b/tamarackhaven/net/_body_budget.py
@@ -11,35 +11,35 @@
 
     Parameters
     ----------
-    most_bytes : int
+    max_bytes : int
         Held at once; one body of any allowed size fits when nothing else is held.
     """
 
-    def __init__(self, most_bytes):
-        self._most_bytes = most_bytes
-        self._held_bytes = 0
+    def __init__(self, max_bytes):
+        self._max_bytes = max_bytes
+        self._reserved_bytes = 0
 
     @property
-    def held_bytes(self):
+    def reserved_bytes(self):
         """Bytes held now."""
-        return self._held_bytes
+        return self._reserved_bytes
 
-    def take(self, count, own_bytes=0):
+    def reserve(self, count, already_reserved_bytes=0):
         """Take bytes if there is room for them; tell whether there was.
 
         Parameters
         ----------
         count : int
             Bytes to take.
-        own_bytes : int
+        already_reserved_bytes : int
             What the same body has taken already.
         """
-        is_only = self._held_bytes == own_bytes
-        if not is_only and self._held_bytes + count > self._most_bytes:
+        is_only_reservation = self._reserved_bytes == already_reserved_bytes
+        if not is_only_reservation and self._reserved_bytes + count > self._max_bytes:
             return False
-        self._held_bytes += count
+        self._reserved_bytes += count
         return True
 
-    def give_back(self, count):
+    def release(self, count):
         """Give back what was taken."""
-        self._held_bytes -= count
+        self._reserved_bytes -= count
--- a/tamarackhaven/net/_http_client.py
+++ b/tamarackhaven/net/_http_client.py
@@ -11,11 +11,11 @@
 import h11
 
 from tamarackhaven._clock import boot_s
-from tamarackhaven.net._http_head import find
+from tamarackhaven.net._http_head import find_header
 
 MAX_REPLY_HEAD_BYTES = 64 << 10
 MAX_REPLY_BYTES = 70 << 20
-_TIMEOUT = re.compile(rb"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 class RequestNotSentError(Exception):
@@ -46,7 +46,7 @@
 
     def header(self, name):
         """Return the value of the header ``name`` (lower case) or None."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -57,9 +57,9 @@
         self._parser = None
         self._request_event = None
         self._request_body = b""
-        self._is_ours = None
-        self._future = None
-        self._response = None
+        self._is_expected_reply = None
+        self._reply_future = None
+        self._response_head = None
         self._body = []
         self._body_bytes = 0
         self.opened_s = boot_s()
@@ -91,7 +91,7 @@
         """Whether a request may still be sent on it."""
         return self.is_reusable and not self._transport.is_closing()
 
-    async def request(self, method, target, headers, body, is_ours):
+    async def request(self, method, target, headers, body, is_expected_reply):
         """Send a request and return its ``Reply``.
 
         Parameters
@@ -102,9 +102,9 @@
             With the host; the length is added.
         body : bytes
             Whole.
-        is_ours : callable
-            ``is_ours(reply)`` false for an answer to an earlier request, which is
-            skipped.
+        is_expected_reply : callable
+            ``is_expected_reply(reply)`` returns false for a reply to an earlier
+            request, which is skipped.
 
         Raises
         ------
@@ -123,19 +123,19 @@
             target=target.encode("latin-1"),
             headers=headers,
         )
-        self._is_ours = is_ours
+        self._is_expected_reply = is_expected_reply
         self._request_body = body
         data = self._start_parser()
-        self._future = asyncio.get_running_loop().create_future()
+        self._reply_future = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         try:
-            return await self._future
+            return await self._reply_future
         except asyncio.CancelledError:
             # The server drops what it still works on when its connection closes.
             self.close()
             raise
         finally:
-            self._future = None
+            self._reply_future = None
             self.idle_since_s = boot_s()
 
     def _start_parser(self):
@@ -148,14 +148,14 @@
 
     def data_received(self, data):
         """Parse what came."""
-        if self._future is None or self._future.done():
+        if self._reply_future is None or self._reply_future.done():
             self.close()
             return
         try:
             self._parser.receive_data(data)
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._break_off(f"not HTTP: {error}")
+            self._abort_request(f"not HTTP: {error}")
 
     def _parse(self):
         while True:
@@ -163,75 +163,79 @@
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
-                self._response = event
+                self._response_head = event
                 self._body = []
                 self._body_bytes = 0
             elif isinstance(event, h11.Data):
                 self._body.append(bytes(event.data))
                 self._body_bytes += len(event.data)
                 if self._body_bytes > MAX_REPLY_BYTES:
-                    self._break_off("answer too large")
+                    self._abort_request("answer too large")
                     return
             elif isinstance(event, h11.EndOfMessage):
-                if self._finish():
+                if self._complete_reply():
                     return
             elif isinstance(event, h11.ConnectionClosed):
-                self._break_off("closed before the answer")
+                self._abort_request("closed before the answer")
                 return
 
-    def _finish(self):
+    def _complete_reply(self):
         """Take a whole answer; false if it belonged to an earlier request."""
         headers = tuple(
-            (bytes(n), bytes(v)) for n, v in self._response.headers.raw_items()
+            (bytes(n), bytes(v)) for n, v in self._response_head.headers.raw_items()
         )
-        reply = Reply(self._response.status_code, headers, b"".join(self._body))
-        rest = self._parser.trailing_data[0]
+        reply = Reply(self._response_head.status_code, headers, b"".join(self._body))
+        trailing_data = self._parser.trailing_data[0]
         ends_connection = self._parser.their_state is h11.MUST_CLOSE
-        if not self._is_ours(reply):
+        if not self._is_expected_reply(reply):
             if ends_connection:
-                self._break_off("closed behind another request's answer")
+                self._abort_request("closed behind another request's answer")
                 return True
             # Read the next answer as the one to the request that was sent.
             self._start_parser()
-            if rest:
-                self._parser.receive_data(rest)
+            if trailing_data:
+                self._parser.receive_data(trailing_data)
             return False
-        self._note_keep_alive(reply)
-        if rest or ends_connection or self._response.http_version == b"1.0":
+        self._update_idle_limit(reply)
+        if (
+            trailing_data
+            or ends_connection
+            or self._response_head.http_version == b"1.0"
+        ):
             self.is_reusable = False
             self._transport.close()
-        self._future.set_result(reply)
+        self._reply_future.set_result(reply)
         return True
 
-    def _note_keep_alive(self, reply):
+    def _update_idle_limit(self, reply):
         value = reply.header(b"keep-alive")
-        found = _TIMEOUT.search(value) if value else None
-        if found:
-            self.idle_limit_s = float(found.group(1))
+        match = _KEEP_ALIVE_TIMEOUT.search(value) if value else None
+        if match:
+            self.idle_limit_s = float(match.group(1))
 
-    def _break_off(self, reason):
+    def _abort_request(self, reason):
         self.is_reusable = False
-        if self._future is not None and not self._future.done():
-            self._future.set_exception(RequestUnansweredError(reason))
+        if self._reply_future is not None and not self._reply_future.done():
+            self._reply_future.set_exception(RequestUnansweredError(reason))
         self._transport.abort()
 
     def eof_received(self):
         """Finish an answer that ends with its connection, or break off."""
         self.is_reusable = False
-        if self._future is None or self._future.done():
+        if self._reply_future is None or self._reply_future.done():
             return False
         try:
             self._parser.receive_data(b"")
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._break_off(f"broken off: {error}")
+            self._abort_request(f"broken off: {error}")
         return False
 
     def connection_lost(self, error):
         """Fail the request that waits."""
         self.is_reusable = False
-        if self._future is not None and not self._future.done():
-            self._future.set_exception(
+        if self._reply_future is not None and not self._reply_future.done():
+            self._reply_future.set_exception(
                 RequestUnansweredError(f"connection lost: {error}")
             )
 
--- a/tamarackhaven/net/_http_head.py
+++ b/tamarackhaven/net/_http_head.py
@@ -6,7 +6,7 @@
 _VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 
 
-def find(headers, name):
+def find_header(headers, name):
     """Return the first value of the header ``name`` (lower case), None without one."""
     for key, value in headers:
         if key.lower() == name:
@@ -24,10 +24,10 @@
         would take: bare line feeds, folded lines, other versions of the protocol.
     """
     end = buffer.find(HEAD_END)
-    seen = buffer if end < 0 else buffer[:end]
+    head = buffer if end < 0 else buffer[:end]
     # Failure: a bare line feed ends a line for one parser and not for the next one.
     # Symptom: a request hides inside another one. Enough: neither is passed on.
-    if seen.count(b"\n") != seen.count(b"\r\n"):
+    if head.count(b"\n") != head.count(b"\r\n"):
         raise _malformed("a bare line feed")
     if end < 0:
         if len(buffer) > limit:
@@ -39,9 +39,9 @@
         raise TamarackhavenError(
             ErrorKind.HEADERS_TOO_LARGE, f"more than {limit} bytes"
         )
-    if b"\r\n " in seen or b"\r\n\t" in seen:
+    if b"\r\n " in head or b"\r\n\t" in head:
         raise _malformed("a folded header")
-    if seen.split(b"\r\n", 1)[0].rsplit(b" ", 1)[-1] not in _VERSIONS:
+    if head.split(b"\r\n", 1)[0].rsplit(b" ", 1)[-1] not in _VERSIONS:
         raise _malformed("not HTTP/1.1")
     return end + len(HEAD_END)
 
--- a/tamarackhaven/net/_http_server.py
+++ b/tamarackhaven/net/_http_server.py
@@ -15,25 +15,25 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.net import _http_head
 from tamarackhaven.net._body_budget import BodyBudget
-from tamarackhaven.net._http_head import find
+from tamarackhaven.net._http_head import find_header
 from tamarackhaven.routing import Limits
 
 # Load: a caller that sends without reading. Harm: its requests and answers fill the
 # memory. Limit: more than any usual caller pipelines; reading goes on when one is done.
 MAX_PIPELINED = 32
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 # A body is copied about three times on its way through a process: this much, three
 # times, and the process itself fit a VM that has 300 MB for it.
-MOST_BODY_BYTES = 64 << 20
+MAX_BUFFERED_BODY_BYTES = 64 << 20
 # Bodies of this kind take some tenths of a second to pass on.
-BODIES_RETRY_S = 0.3
+BODIES_RETRY_AFTER_S = 0.3
 # Idle connections are kept a little longer than callers are told, so that a request
 # sent at the last moment still finds its connection.
 IDLE_GRACE_S = 3.0
-SWEEP_S = 0.5
+SWEEP_INTERVAL_S = 0.5
 # An answer that its caller doesn't take for so long is given up.
-WRITE_STALL_S = 30.0
-_HOP_HEADERS = frozenset(
+WRITE_STALL_TIMEOUT_S = 30.0
+_HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade "
     b"content-length".split()
 )
@@ -63,7 +63,7 @@
 
     def header(self, name):
         """Return the value of the header ``name`` (lower case) or None."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
     @property
     def path(self):
@@ -89,10 +89,10 @@
         self.arrived_s = None
         self.body = []
         self.body_bytes = 0
-        self.taken_bytes = 0
+        self.reserved_bytes = 0
         self.task = None
         self.response = None
-        self.closes = False
+        self.closes_connection = False
 
 
 class _Connection(asyncio.Protocol):
@@ -100,11 +100,11 @@
         self._server = server
         self._transport = None
         self._buffer = b""
-        self._reading = None
-        self._waiting = collections.deque()
-        self._stopped_reading = False
-        self._write_stalled_since = None
-        self.active_s = boot_s()
+        self._reading_exchange = None
+        self._pending_exchanges = collections.deque()
+        self._has_stopped_reading = False
+        self._write_stalled_since_s = None
+        self.active_at_s = boot_s()
 
     # Connection.
 
@@ -114,89 +114,98 @@
 
     def connection_lost(self, _error):
         self._server.connections.discard(self)
-        self._cancel_all()
-        if self._reading is not None:
-            self._release(self._reading)
-            self._reading = None
+        self._cancel_pending()
+        if self._reading_exchange is not None:
+            self._release(self._reading_exchange)
+            self._reading_exchange = None
 
     def eof_received(self):
         # A caller that closes its connection no longer waits for any answer.
-        self._cancel_all()
+        self._cancel_pending()
         return False
 
     def pause_writing(self):
-        self._write_stalled_since = boot_s()
+        self._write_stalled_since_s = boot_s()
 
     def resume_writing(self):
-        self._write_stalled_since = None
+        self._write_stalled_since_s = None
 
-    def _cancel_all(self):
-        for exchange in self._waiting:
+    def _cancel_pending(self):
+        for exchange in self._pending_exchanges:
             self._release(exchange)
             if exchange.task is not None:
                 exchange.task.cancel()
-        self._waiting.clear()
+        self._pending_exchanges.clear()
 
     @property
     def is_idle(self):
         """Whether nothing is being read or answered."""
-        return not self._waiting and self._reading is None and not self._buffer
+        return (
+            not self._pending_exchanges
+            and self._reading_exchange is None
+            and not self._buffer
+        )
 
     def close(self):
         """Close after what was written has left."""
         self._transport.close()
 
-    def sweep(self, now):
+    def close_if_timed_out(self, now):
         """Close a connection that has been silent for too long."""
         limits = self._server.limits
-        stalled = self._write_stalled_since
-        if stalled is not None and now - stalled > WRITE_STALL_S:
+        stalled_since_s = self._write_stalled_since_s
+        if (
+            stalled_since_s is not None
+            and now - stalled_since_s > WRITE_STALL_TIMEOUT_S
+        ):
             self._transport.abort()
-        elif self._waiting:
+        elif self._pending_exchanges:
             return
-        elif self._reading is None and self._buffer:
-            if now - self.active_s > limits.header_timeout_s + SWEEP_S:
-                self._fail(TamarackhavenError(ErrorKind.MALFORMED_REQUEST, "too slow"))
-        elif self._is_over(now):
+        elif self._reading_exchange is None and self._buffer:
+            if now - self.active_at_s > limits.header_timeout_s + SWEEP_INTERVAL_S:
+                self._reject(
+                    TamarackhavenError(ErrorKind.MALFORMED_REQUEST, "too slow")
+                )
+        elif self._should_close(now):
             self._transport.close()
 
-    def _is_over(self, now):
-        idle_s = now - self.active_s
+    def _should_close(self, now):
+        idle_s = now - self.active_at_s
         is_old = idle_s > self._server.limits.idle_timeout_s + IDLE_GRACE_S
         return is_old or (self._server.is_closing and self.is_idle)
 
     # Reading.
 
     def data_received(self, data):
-        if self._stopped_reading:
+        if self._has_stopped_reading:
             return
         if self.is_idle:
-            self.active_s = boot_s()
+            self.active_at_s = boot_s()
         self._buffer += data
-        self._read_on()
+        self._process_buffer()
 
-    def _read_on(self):
+    def _process_buffer(self):
         try:
-            while self._buffer and not self._stopped_reading:
-                if len(self._waiting) >= MAX_PIPELINED:
+            while self._buffer and not self._has_stopped_reading:
+                if len(self._pending_exchanges) >= MAX_PIPELINED:
                     self._transport.pause_reading()
                     return
-                if not self._read_some():
+                if not self._feed_parser():
                     return
         except h11.RemoteProtocolError as error:
-            self._fail(TamarackhavenError(ErrorKind.MALFORMED_REQUEST, str(error)))
+            self._reject(TamarackhavenError(ErrorKind.MALFORMED_REQUEST, str(error)))
         except TamarackhavenError as error:
-            self._fail(error)
+            self._reject(error)
 
-    def _read_some(self):
+    def _feed_parser(self):
         """Feed what is there to the request being read; false if more is needed."""
-        if self._reading is None:
+        if self._reading_exchange is None:
             limit = self._server.limits.max_header_bytes
             length = _http_head.head_length(self._buffer, limit)
             if length is None:
                 return False
-            self._reading = _Exchange(h11.Connection(h11.SERVER, limit + 1024))
-        exchange = self._reading
+            self._reading_exchange = _Exchange(h11.Connection(h11.SERVER, limit + 1024))
+        exchange = self._reading_exchange
         exchange.parser.receive_data(self._buffer)
         self._buffer = b""
         while True:
@@ -206,22 +215,22 @@
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 return True
             if isinstance(event, h11.Request):
-                self._begin(exchange, event)
+                self._on_request_head(exchange, event)
             elif isinstance(event, h11.Data):
-                self._add(exchange, event.data)
+                self._on_body_data(exchange, event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._end(exchange)
+                self._on_request_end(exchange)
                 return True
 
-    def _begin(self, exchange, event):
+    def _on_request_head(self, exchange, event):
         _http_head.check_framing(event.headers)
         exchange.request = event
         exchange.arrived_s = boot_s()
         for name, value in event.headers:
             if name == b"content-length":
-                if int(value) > self._max_body:
-                    raise self._too_large()
-                self._take(exchange, int(value))
+                if int(value) > self._max_body_bytes:
+                    raise self._body_too_large()
+                self._reserve(exchange, int(value))
             if name == b"expect" and value.lower() == b"100-continue":
                 self._transport.write(
                     exchange.parser.send(
@@ -230,53 +239,53 @@
                 )
 
     @property
-    def _max_body(self):
+    def _max_body_bytes(self):
         return self._server.limits.max_body_bytes
 
-    def _too_large(self):
+    def _body_too_large(self):
         return TamarackhavenError(
-            ErrorKind.BODY_TOO_LARGE, f"more than {self._max_body} bytes"
+            ErrorKind.BODY_TOO_LARGE, f"more than {self._max_body_bytes} bytes"
         )
 
-    def _add(self, exchange, data):
+    def _on_body_data(self, exchange, data):
         exchange.body.append(bytes(data))
         exchange.body_bytes += len(data)
-        self.active_s = boot_s()
-        if exchange.body_bytes > self._max_body:
-            raise self._too_large()
-        if exchange.body_bytes > exchange.taken_bytes:
-            self._take(exchange, exchange.body_bytes - exchange.taken_bytes)
+        self.active_at_s = boot_s()
+        if exchange.body_bytes > self._max_body_bytes:
+            raise self._body_too_large()
+        if exchange.body_bytes > exchange.reserved_bytes:
+            self._reserve(exchange, exchange.body_bytes - exchange.reserved_bytes)
 
-    def _take(self, exchange, count):
+    def _reserve(self, exchange, count):
         """Take room for bytes of a body, or refuse it."""
-        if not self._server.bodies.take(count, exchange.taken_bytes):
-            held_bytes = self._server.bodies.held_bytes
+        if not self._server.body_budget.reserve(count, exchange.reserved_bytes):
+            reserved_bytes = self._server.body_budget.reserved_bytes
             raise TamarackhavenError(
-                ErrorKind.BODIES_FULL, f"{held_bytes} bytes", BODIES_RETRY_S
+                ErrorKind.BODIES_FULL, f"{reserved_bytes} bytes", BODIES_RETRY_AFTER_S
             )
-        exchange.taken_bytes += count
+        exchange.reserved_bytes += count
 
     def _release(self, exchange):
-        self._server.bodies.give_back(exchange.taken_bytes)
-        exchange.taken_bytes = 0
+        self._server.body_budget.release(exchange.reserved_bytes)
+        exchange.reserved_bytes = 0
 
-    def _end(self, exchange):
-        self._reading = None
+    def _on_request_end(self, exchange):
+        self._reading_exchange = None
         self._buffer = exchange.parser.trailing_data[0]
         event = exchange.request
         connection = [v.lower() for n, v in event.headers if n == b"connection"]
-        exchange.closes = event.http_version == b"1.0" or any(
+        exchange.closes_connection = event.http_version == b"1.0" or any(
             b"close" in value for value in connection
         )
-        if exchange.closes:
-            self._stopped_reading = True
-        hop = _HOP_HEADERS.union(
+        if exchange.closes_connection:
+            self._has_stopped_reading = True
+        hop_by_hop_names = _HOP_BY_HOP_HEADERS.union(
             part.strip() for value in connection for part in value.split(b",")
         )
         headers = tuple(
             (bytes(raw), bytes(value))
             for raw, value in event.headers.raw_items()
-            if raw.lower() not in hop
+            if raw.lower() not in hop_by_hop_names
         )
         request = HttpRequest(
             event.method.decode("ascii"),
@@ -286,12 +295,12 @@
             exchange.arrived_s,
         )
         exchange.body = []
-        self._waiting.append(exchange)
+        self._pending_exchanges.append(exchange)
         exchange.task = asyncio.get_running_loop().create_task(
-            self._answer(exchange, request)
+            self._handle(exchange, request)
         )
 
-    async def _answer(self, exchange, request):
+    async def _handle(self, exchange, request):
         try:
             exchange.response = await self._server.handler(request)
         except asyncio.CancelledError:
@@ -299,58 +308,64 @@
         except Exception as error:
             # Whatever went wrong, the caller hears it at once instead of waiting.
             self._server.on_error(request, error)
-            exchange.response = _response_of(
+            exchange.response = _error_response(
                 TamarackhavenError(ErrorKind.INTERNAL, repr(error))
             )
-        self._flush()
+        self._write_ready_responses()
 
-    def _fail(self, error):
+    def _reject(self, error):
         """Answer what can't be read, after the answers before it; then close."""
-        self._stopped_reading = True
-        exchange = self._reading or _Exchange(h11.Connection(h11.SERVER))
-        self._reading = None
+        self._has_stopped_reading = True
+        exchange = self._reading_exchange or _Exchange(h11.Connection(h11.SERVER))
+        self._reading_exchange = None
         self._buffer = b""
         self._release(exchange)
-        exchange.closes = True
-        exchange.response = _response_of(error)
+        exchange.closes_connection = True
+        exchange.response = _error_response(error)
         self._server.on_bad_request(error)
-        self._waiting.append(exchange)
-        self._flush()
+        self._pending_exchanges.append(exchange)
+        self._write_ready_responses()
 
     # Writing.
 
-    def _flush(self):
+    def _write_ready_responses(self):
         """Write the answers that are ready, in order."""
-        was_full = len(self._waiting) >= MAX_PIPELINED
-        while self._waiting and self._waiting[0].response is not None:
-            exchange = self._waiting.popleft()
+        was_at_pipeline_limit = len(self._pending_exchanges) >= MAX_PIPELINED
+        while (
+            self._pending_exchanges and self._pending_exchanges[0].response is not None
+        ):
+            exchange = self._pending_exchanges.popleft()
             self._release(exchange)
             if self._transport.is_closing():
                 return
-            closes = self._write(exchange)
-            self.active_s = boot_s()
-            if closes:
-                self._stopped_reading = True
+            closes_connection = self._write_response(exchange)
+            self.active_at_s = boot_s()
+            if closes_connection:
+                self._has_stopped_reading = True
                 # Requests behind this answer were not passed on: only those that
                 # already run keep the connection open until they are answered.
                 self._transport.close()
-                self._cancel_all()
+                self._cancel_pending()
                 return
-        if was_full and not self._stopped_reading:
+        if was_at_pipeline_limit and not self._has_stopped_reading:
             self._transport.resume_reading()
-            self._read_on()
+            self._process_buffer()
 
-    def _write(self, exchange):
+    def _write_response(self, exchange):
         """Write one answer; tell whether the connection closes behind it."""
         response = exchange.response
-        is_last = not self._waiting
-        closes = exchange.closes or (
-            self._server.is_closing and is_last and self._reading is None
+        is_last_pending = not self._pending_exchanges
+        closes_connection = exchange.closes_connection or (
+            self._server.is_closing
+            and is_last_pending
+            and self._reading_exchange is None
         )
-        headers = [(n, v) for n, v in response.headers if n.lower() not in _HOP_HEADERS]
+        headers = [
+            (n, v) for n, v in response.headers if n.lower() not in _HOP_BY_HOP_HEADERS
+        ]
         if response.status != 204:
             headers.append((b"Content-Length", str(len(response.body)).encode()))
-        if closes:
+        if closes_connection:
             headers.append((b"Connection", b"close"))
         parser = exchange.parser
         try:
@@ -359,10 +374,14 @@
                     status_code=response.status, headers=headers, http_version=b"1.1"
                 )
             )
-            is_head = (
+            is_head_request = (
                 exchange.request is not None and exchange.request.method == b"HEAD"
             )
-            if response.body and not is_head and response.status not in (204, 304):
+            if (
+                response.body
+                and not is_head_request
+                and response.status not in (204, 304)
+            ):
                 data += parser.send(h11.Data(data=response.body))
             data += parser.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
@@ -370,10 +389,10 @@
             self._transport.abort()
             return True
         self._transport.write(data)
-        return closes
+        return closes_connection
 
 
-def _response_of(error):
+def _error_response(error):
     headers = ()
     if error.retry_after_s:
         headers = ((b"Retry-After", f"{error.retry_after_s:.3f}".encode()),)
@@ -403,26 +422,30 @@
         self.on_error = on_error
         self.on_bad_request = on_bad_request
         self.limits = Limits()
-        self.bodies = BodyBudget(MOST_BODY_BYTES)
+        self.body_budget = BodyBudget(MAX_BUFFERED_BODY_BYTES)
         self.connections = set()
         self.is_closing = False
         self._server = None
-        self._sweep = None
+        self._sweep_timer = None
 
     async def start(self, host, port):
         """Listen; ``OSError`` if the port is taken."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _Connection(self), host, port, backlog=BACKLOG, reuse_address=True
+            lambda: _Connection(self),
+            host,
+            port,
+            backlog=LISTEN_BACKLOG,
+            reuse_address=True,
         )
-        self._sweep = loop.call_later(SWEEP_S, self._sweep_all)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep_connections)
 
-    def _sweep_all(self):
+    def _sweep_connections(self):
         now = boot_s()
         for connection in tuple(self.connections):
-            connection.sweep(now)
+            connection.close_if_timed_out(now)
         loop = asyncio.get_running_loop()
-        self._sweep = loop.call_later(SWEEP_S, self._sweep_all)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep_connections)
 
     @property
     def busy(self):
@@ -436,8 +459,8 @@
 
     def close(self):
         """Stop listening and close the connections; answers that wait are cut."""
-        if self._sweep is not None:
-            self._sweep.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         self.stop_listening()
         for connection in tuple(self.connections):
             connection.close()
--- a/tamarackhaven/net/_link.py
+++ b/tamarackhaven/net/_link.py
@@ -7,7 +7,7 @@
 from tamarackhaven._clock import boot_s
 from tamarackhaven.errors import TamarackhavenError
 
-_HEAD = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 # A body of the largest size that configurations usually allow, and its headers.
 MAX_FRAME_BYTES = 72 << 20
 # Load: a peer that stops reading. Harm: what waits for it fills this process's memory.
@@ -21,7 +21,7 @@
 # Failure: a VM loses power or a connection goes silent without a reset. Symptom: writes
 # into it succeed for minutes. Enough: the kernel closes it when bytes stay
 # unacknowledged for so long, in milliseconds; some round trips between zones.
-USER_TIMEOUT_MS = 1500
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
 # Between availability zones of a region a connection takes a few milliseconds.
 DIAL_TIMEOUT_S = 0.6
 
@@ -45,8 +45,8 @@
         self._on_closed = on_closed
         self._buffer = bytearray()
         self._transport = None
-        self._pinged_at_s = None
-        self._unsent_bytes = 0
+        self._probed_at_s = None
+        self._last_unsent_bytes = 0
         self.heard_at_s = boot_s()
 
     @property
@@ -62,34 +62,34 @@
     @property
     def arriving_bytes(self):
         """Bytes that are still to come of a message whose beginning is here."""
-        if len(self._buffer) < _HEAD.size:
+        if len(self._buffer) < _LENGTH_PREFIX.size:
             return 0
-        (size,) = _HEAD.unpack_from(self._buffer)
-        return max(_HEAD.size + size - len(self._buffer), 0)
+        (size,) = _LENGTH_PREFIX.unpack_from(self._buffer)
+        return max(_LENGTH_PREFIX.size + size - len(self._buffer), 0)
 
     def connection_made(self, transport):
         """Take the connection."""
         self._transport = transport
-        bound_silence(transport)
+        set_socket_options(transport)
 
     def data_received(self, data):
         """Collect bytes and pass on whole messages."""
         self.heard_at_s = boot_s()
         self._buffer += data
-        while len(self._buffer) >= _HEAD.size:
-            (size,) = _HEAD.unpack_from(self._buffer)
+        while len(self._buffer) >= _LENGTH_PREFIX.size:
+            (size,) = _LENGTH_PREFIX.unpack_from(self._buffer)
             if size in (_PING, _PONG):
-                del self._buffer[: _HEAD.size]
-                self._on_probe(size)
+                del self._buffer[: _LENGTH_PREFIX.size]
+                self._on_probe_frame(size)
                 continue
             if size > MAX_FRAME_BYTES:
                 self.abort()
                 return
-            end = _HEAD.size + size
+            end = _LENGTH_PREFIX.size + size
             if len(self._buffer) < end:
                 return
             with memoryview(self._buffer) as view:
-                frame = bytes(view[_HEAD.size : end])
+                frame = bytes(view[_LENGTH_PREFIX.size : end])
             del self._buffer[:end]
             try:
                 message = self._codec.unpack(frame)
@@ -110,21 +110,21 @@
         if self._transport.get_write_buffer_size() + len(data) > MAX_UNSENT_BYTES:
             self.abort()
             return False
-        self._codec.note_sent(message, _HEAD.size + len(data))
+        self._codec.count_sent(message, _LENGTH_PREFIX.size + len(data))
         if len(data) > LARGE_FRAME_BYTES:
-            self._transport.write(_HEAD.pack(len(data)))
+            self._transport.write(_LENGTH_PREFIX.pack(len(data)))
             self._transport.write(data)
         else:
-            self._transport.write(_HEAD.pack(len(data)) + data)
+            self._transport.write(_LENGTH_PREFIX.pack(len(data)) + data)
         return True
 
-    def _on_probe(self, kind):
+    def _on_probe_frame(self, kind):
         if kind == _PONG:
-            self._pinged_at_s = None
+            self._probed_at_s = None
         elif self.is_open:
-            self._transport.write(_HEAD.pack(_PONG))
+            self._transport.write(_LENGTH_PREFIX.pack(_PONG))
 
-    def probe(self, now, silent_s, quiet_s=0.0):
+    def probe(self, now, silent_s, min_idle_s=0.0):
         """Ask whether the other end is there; abort a link that is silent.
 
         Parameters
@@ -133,20 +133,20 @@
             Seconds of the boot clock.
         silent_s : float
             An unanswered probe of this age shows that the link is dead.
-        quiet_s : float
+        min_idle_s : float
             A link that has brought something within this time is not asked.
         """
         if not self.is_open:
             return
-        self._note_progress(now)
-        if self._pinged_at_s is not None:
-            if now - max(self._pinged_at_s, self.heard_at_s) > silent_s:
+        self._note_write_progress(now)
+        if self._probed_at_s is not None:
+            if now - max(self._probed_at_s, self.heard_at_s) > silent_s:
                 self.abort()
-        elif now - self.heard_at_s >= quiet_s:
-            self._pinged_at_s = now
-            self._transport.write(_HEAD.pack(_PING))
+        elif now - self.heard_at_s >= min_idle_s:
+            self._probed_at_s = now
+            self._transport.write(_LENGTH_PREFIX.pack(_PING))
 
-    def _note_progress(self, now):
+    def _note_write_progress(self, now):
         """Count bytes that the other end takes as a sign of it.
 
         Failure: a large message fills a slow link, and the answer to a probe waits
@@ -154,9 +154,9 @@
         as long as what is unsent shrinks, the other end acknowledges.
         """
         unsent_bytes = self._transport.get_write_buffer_size()
-        if unsent_bytes < self._unsent_bytes:
+        if unsent_bytes < self._last_unsent_bytes:
             self.heard_at_s = now
-        self._unsent_bytes = unsent_bytes
+        self._last_unsent_bytes = unsent_bytes
 
     def abort(self):
         """Close at once; what is unsent is dropped."""
@@ -164,11 +164,13 @@
             self._transport.abort()
 
 
-def bound_silence(transport):
+def set_socket_options(transport):
     """Let the kernel close a connection whose other end no longer acknowledges."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    connection.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+    )
 
 
 async def dial(address, codec, on_message, on_closed, timeout_s=DIAL_TIMEOUT_S):
@@ -201,15 +203,15 @@
         """Listen; ``OSError`` if the port is taken."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._make, host, port, backlog=512, reuse_address=True
+            self._make_link, host, port, backlog=512, reuse_address=True
         )
 
-    def _make(self):
-        link = Link(self._codec, self._on_message, self._closed)
+    def _make_link(self):
+        link = Link(self._codec, self._on_message, self._on_link_closed)
         self._links.add(link)
         return link
 
-    def _closed(self, link):
+    def _on_link_closed(self, link):
         self._links.discard(link)
         self._on_closed(link)
 
--- a/tamarackhaven/net/_wire.py
+++ b/tamarackhaven/net/_wire.py
@@ -16,7 +16,7 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 # Below this, compression saves less than a network packet's headers.
-COMPRESSED_FROM_BYTES = 256
+MIN_COMPRESSED_BYTES = 256
 # A message that unpacks to more is none of ours; as large as a frame may be.
 MAX_UNPACKED_BYTES = 72 << 20
 
@@ -53,13 +53,13 @@
             unstruct_strat=UnstructureStrategy.AS_TUPLE, detailed_validation=False
         )
         self._kind_by_name = {kind.__name__: kind for kind in kinds}
-        self._compressed = frozenset(compressed)
+        self._compressed_kinds = frozenset(compressed)
         self._sent_bytes_by_kind = collections.Counter()
 
-    def note_sent(self, message, size):
+    def count_sent(self, message, size):
         """Count the bytes of a message that a link of this process sends."""
-        is_packed = isinstance(message, Packed)
-        kind = message.kind if is_packed else type(message).__name__
+        is_already_packed = isinstance(message, Packed)
+        kind = message.kind if is_already_packed else type(message).__name__
         self._sent_bytes_by_kind[kind] += size
 
     def sent_bytes(self):
@@ -80,12 +80,12 @@
         if isinstance(message, Packed):
             return message.data
         kind = type(message)
-        plain = self._converter.unstructure(message)
-        data = msgpack.packb([kind.__name__, plain])
-        if kind in self._compressed and len(data) >= COMPRESSED_FROM_BYTES:
+        fields = self._converter.unstructure(message)
+        data = msgpack.packb([kind.__name__, fields])
+        if kind in self._compressed_kinds and len(data) >= MIN_COMPRESSED_BYTES:
             # A record is a list, so bytes in its place are a compressed one.
-            plain = zlib.compress(msgpack.packb(plain))
-            data = msgpack.packb([kind.__name__, plain])
+            fields = zlib.compress(msgpack.packb(fields))
+            data = msgpack.packb([kind.__name__, fields])
         return data
 
     def unpack(self, data):
@@ -97,10 +97,10 @@
             MALFORMED_REQUEST for anything else.
         """
         try:
-            name, plain = msgpack.unpackb(data, strict_map_key=False)
-            if isinstance(plain, bytes):
-                plain = msgpack.unpackb(_decompressed(plain), strict_map_key=False)
-            return self._converter.structure(plain, self._kind_by_name[name])
+            name, fields = msgpack.unpackb(data, strict_map_key=False)
+            if isinstance(fields, bytes):
+                fields = msgpack.unpackb(_decompress(fields), strict_map_key=False)
+            return self._converter.structure(fields, self._kind_by_name[name])
         except Exception as error:
             # The library raises many kinds for bytes of another program.
             raise TamarackhavenError(
@@ -108,9 +108,9 @@
             ) from error
 
 
-def _decompressed(data):
+def _decompress(data):
     unpacker = zlib.decompressobj()
-    plain = unpacker.decompress(data, MAX_UNPACKED_BYTES)
+    fields = unpacker.decompress(data, MAX_UNPACKED_BYTES)
     if not unpacker.eof:
         raise ValueError("cut short or too large")
-    return plain
+    return fields
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -11,14 +11,14 @@
 )
 
 
-def exchange(*scripts, requests=1, pause_s=0.0):
+def send_requests(*responses, requests=1, pause_between_s=0.0):
     """Return the ends of requests on one connection to a scripted server."""
 
     async def main():
         async def serve(reader, writer):
-            for script in scripts:
+            for response in responses:
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(script)
+                writer.write(response)
                 await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
@@ -26,26 +26,30 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connection = await ClientConnection.open("127.0.0.1", port, 1.0)
-        ends = []
+        outcomes = []
         for number in range(requests):
             name = f"id-{number}".encode()
 
-            def is_ours(reply, name=name):
+            def is_expected_reply(reply, name=name):
                 return reply.header(b"id") in (None, name)
 
             try:
                 headers = [(b"Host", b"h"), (b"Id", name)]
-                ends.append(await connection.request("GET", "/", headers, b"", is_ours))
+                outcomes.append(
+                    await connection.request(
+                        "GET", "/", headers, b"", is_expected_reply
+                    )
+                )
             except (RequestNotSentError, RequestUnansweredError) as error:
-                ends.append(type(error))
-            await asyncio.sleep(pause_s)
+                outcomes.append(type(error))
+            await asyncio.sleep(pause_between_s)
         server.close()
-        return ends, connection
+        return outcomes, connection
 
     return asyncio.run(main())
 
 
-def answer(name, body=b"body"):
+def response_with_id(name, body=b"body"):
     length = str(len(body)).encode()
     return b"HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %s\r\n\r\n%s" % (
         name,
@@ -55,12 +59,14 @@
 
 
 def test_a_whole_answer_leaves_the_connection_usable():
-    ends, connection = exchange(answer(b"id-0"), answer(b"id-1"), requests=2)
-    assert [end.body for end in ends] == [b"body", b"body"]
+    outcomes, connection = send_requests(
+        response_with_id(b"id-0"), response_with_id(b"id-1"), requests=2
+    )
+    assert [outcome.body for outcome in outcomes] == [b"body", b"body"]
 
 
 @pytest.mark.parametrize(
-    "script",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
@@ -68,23 +74,27 @@
         b"",
     ],
 )
-def test_an_answer_that_breaks_off_is_none(script):
+def test_an_answer_that_breaks_off_is_none(response):
     # A target crashes or spoils its answer. Passed on, it would look whole to the
     # caller; the request may have run, so nothing says that it did not.
-    ends, connection = exchange(script)
-    assert ends == [RequestUnansweredError]
+    outcomes, connection = send_requests(response)
+    assert outcomes == [RequestUnansweredError]
     assert not connection.is_open
 
 
 def test_an_answer_without_a_length_ends_with_its_connection():
-    ends, connection = exchange(b"HTTP/1.1 200 OK\r\nId: id-0\r\n\r\nall of it")
-    assert ends[0].body == b"all of it"
+    outcomes, connection = send_requests(
+        b"HTTP/1.1 200 OK\r\nId: id-0\r\n\r\nall of it"
+    )
+    assert outcomes[0].body == b"all of it"
     assert not connection.is_open
 
 
 def test_an_extra_answer_behind_a_whole_one_closes_the_connection():
-    ends, connection = exchange(answer(b"id-0") + answer(b"id-0", b"extra"))
-    assert ends[0].body == b"body"
+    outcomes, connection = send_requests(
+        response_with_id(b"id-0") + response_with_id(b"id-0", b"extra")
+    )
+    assert outcomes[0].body == b"body"
     assert not connection.is_open
 
 
@@ -92,21 +102,21 @@
     # A target sends a second answer to the first request late, where the answer to
     # the second one is due. Without a look at the id, one caller would get the
     # answer that belongs to another.
-    ends, _ = exchange(
-        answer(b"id-0"),
-        answer(b"id-0", b"extra") + answer(b"id-1", b"right"),
+    outcomes, _ = send_requests(
+        response_with_id(b"id-0"),
+        response_with_id(b"id-0", b"extra") + response_with_id(b"id-1", b"right"),
         requests=2,
     )
-    assert ends[1].body == b"right"
+    assert outcomes[1].body == b"right"
 
 
 def test_bytes_that_nobody_asked_for_close_an_idle_connection():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer(b"id-0"))
+            writer.write(response_with_id(b"id-0"))
             await asyncio.sleep(0.05)
-            writer.write(answer(b"id-0", b"extra"))
+            writer.write(response_with_id(b"id-0", b"extra"))
             await asyncio.sleep(0.2)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -123,6 +133,6 @@
 
 
 def test_the_time_that_the_server_keeps_a_connection_is_read():
-    script = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
-    _, connection = exchange(script)
+    response = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
+    _, connection = send_requests(response)
     assert connection.idle_limit_s == 7.0
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -11,26 +11,26 @@
 HOST = b"Host: h.example\r\n"
 
 
-class Site:
+class ServerHarness:
     """A server with a handler that waits where the test says so."""
 
     def __init__(self):
-        self.seen = []
-        self.cancelled = []
-        self.gate_by_target = {}
-        self.bad = []
+        self.requests = []
+        self.cancelled_targets = []
+        self.release_event_by_target = {}
+        self.bad_request_errors = []
         self.server = HttpServer(
-            self.handle, lambda request, error: None, self.bad.append
+            self.handle, lambda request, error: None, self.bad_request_errors.append
         )
 
     async def handle(self, request):
-        self.seen.append(request)
-        gate = self.gate_by_target.get(request.target)
+        self.requests.append(request)
+        release_event = self.release_event_by_target.get(request.target)
         try:
-            if gate is not None:
-                await gate.wait()
+            if release_event is not None:
+                await release_event.wait()
         except asyncio.CancelledError:
-            self.cancelled.append(request.target)
+            self.cancelled_targets.append(request.target)
             raise
         body = f"{request.method} {request.target} ".encode() + request.body
         return HttpResponse(200, (), body)
@@ -46,14 +46,14 @@
     async def open(self):
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def talk(self, data):
+    async def send_and_read_all(self, data):
         """Send bytes, return all that comes until the server closes or is silent."""
         reader, writer = await self.open()
         writer.write(data)
         received = b""
         try:
-            while piece := await asyncio.wait_for(reader.read(65536), 1.0):
-                received += piece
+            while chunk := await asyncio.wait_for(reader.read(65536), 1.0):
+                received += chunk
         except TimeoutError:
             pass
         writer.close()
@@ -62,8 +62,8 @@
 
 def run(test):
     async def main():
-        async with Site() as site:
-            await test(site)
+        async with ServerHarness() as harness:
+            await test(harness)
 
     asyncio.run(main())
 
@@ -72,14 +72,14 @@
     # A caller sends a slow request and a fast one behind it. If the fast one waited
     # for the slow one it would be late; if it were answered first, the caller would
     # take its answer for that of the slow one.
-    async def test(site):
-        site.gate_by_target["/slow"] = asyncio.Event()
-        reader, writer = await site.open()
+    async def test(harness):
+        harness.release_event_by_target["/slow"] = asyncio.Event()
+        reader, writer = await harness.open()
         for target in (b"/slow", b"/fast"):
             writer.write(b"GET " + target + b" HTTP/1.1\r\n" + HOST + b"\r\n")
-        while len(site.seen) < 2:
+        while len(harness.requests) < 2:
             await asyncio.sleep(0.005)
-        site.gate_by_target["/slow"].set()
+        harness.release_event_by_target["/slow"].set()
         text = await asyncio.wait_for(reader.readuntil(b"/fast "), 2)
         assert text.index(b"GET /slow") < text.index(b"GET /fast")
         writer.close()
@@ -88,31 +88,31 @@
 
 
 def test_a_caller_that_leaves_cancels_its_requests():
-    async def test(site):
-        site.gate_by_target["/a"] = asyncio.Event()
-        _, writer = await site.open()
+    async def test(harness):
+        harness.release_event_by_target["/a"] = asyncio.Event()
+        _, writer = await harness.open()
         writer.write(b"GET /a HTTP/1.1\r\n" + HOST + b"\r\n")
-        while not site.seen:
+        while not harness.requests:
             await asyncio.sleep(0.005)
         writer.close()
         for _ in range(100):
-            if site.cancelled:
+            if harness.cancelled_targets:
                 break
             await asyncio.sleep(0.01)
-        assert site.cancelled == ["/a"]
+        assert harness.cancelled_targets == ["/a"]
 
     run(test)
 
 
 def test_bodies_come_whole_from_a_length_and_from_chunks():
-    async def test(site):
+    async def test(harness):
         head = b"POST /x HTTP/1.1\r\n" + HOST
         sized = head + b"Content-Length: 5\r\n\r\nhello"
         chunked = (
             head + b"Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n"
         )
         for data in (sized, chunked):
-            assert (await site.talk(data)).endswith(b"POST /x hello")
+            assert (await harness.send_and_read_all(data)).endswith(b"POST /x hello")
 
     run(test)
 
@@ -120,34 +120,38 @@
 def test_bodies_beyond_the_bytes_held_are_refused_before_they_are_read():
     # Many callers send large bodies at once. Collected whole, they would fill the
     # memory, and the process would be ended with all that it works on.
-    async def test(site):
-        site.server.bodies = BodyBudget(1000)
-        site.gate_by_target["/slow"] = asyncio.Event()
+    async def test(harness):
+        harness.server.body_budget = BodyBudget(1000)
+        harness.release_event_by_target["/slow"] = asyncio.Event()
         head = b"POST %s HTTP/1.1\r\n" + HOST + b"Content-Length: %d\r\n\r\n"
-        _, writer = await site.open()
+        _, writer = await harness.open()
         writer.write(head % (b"/slow", 900) + bytes(900))
-        while not site.seen:
+        while not harness.requests:
             await asyncio.sleep(0.005)
-        refused = await site.talk(head % (b"/x", 200))
+        refused = await harness.send_and_read_all(head % (b"/x", 200))
         assert refused.startswith(b"HTTP/1.1 503") and b"Retry-After" in refused
-        assert (await site.talk(head % (b"/y", 5) + b"hello")).endswith(b"/y hello")
-        site.gate_by_target["/slow"].set()
-        while site.server.bodies.held_bytes:
+        assert (await harness.send_and_read_all(head % (b"/y", 5) + b"hello")).endswith(
+            b"/y hello"
+        )
+        harness.release_event_by_target["/slow"].set()
+        while harness.server.body_budget.reserved_bytes:
             await asyncio.sleep(0.005)
-        assert (await site.talk(head % (b"/z", 200) + bytes(200))).endswith(bytes(200))
+        assert (
+            await harness.send_and_read_all(head % (b"/z", 200) + bytes(200))
+        ).endswith(bytes(200))
         writer.close()
 
     run(test)
 
 
 def test_a_caller_that_leaves_gives_its_bytes_back():
-    async def test(site):
-        _, writer = await site.open()
+    async def test(harness):
+        _, writer = await harness.open()
         writer.write(b"POST / HTTP/1.1\r\n" + HOST + b"Content-Length: 900\r\n\r\nhalf")
-        while not site.server.bodies.held_bytes:
+        while not harness.server.body_budget.reserved_bytes:
             await asyncio.sleep(0.005)
         writer.transport.abort()
-        while site.server.bodies.held_bytes:
+        while harness.server.body_budget.reserved_bytes:
             await asyncio.sleep(0.005)
 
     run(test)
@@ -155,10 +159,10 @@
 
 def test_one_body_of_any_size_fits_alone():
     budget = BodyBudget(100)
-    assert budget.take(150) and budget.take(50, own_bytes=150)
-    assert not budget.take(1)
-    budget.give_back(200)
-    assert budget.take(100) and not budget.take(1)
+    assert budget.reserve(150) and budget.reserve(50, already_reserved_bytes=150)
+    assert not budget.reserve(1)
+    budget.release(200)
+    assert budget.reserve(100) and not budget.reserve(1)
 
 
 @pytest.mark.parametrize(
@@ -183,21 +187,23 @@
 def test_what_two_parsers_could_read_differently_is_refused(head):
     # What follows such a head could be served as a request of its own, under another
     # caller's rights. It is answered 400 and the connection closes.
-    async def test(site):
-        received = await site.talk(head + b"GET /hidden HTTP/1.1\r\n" + HOST + b"\r\n")
+    async def test(harness):
+        received = await harness.send_and_read_all(
+            head + b"GET /hidden HTTP/1.1\r\n" + HOST + b"\r\n"
+        )
         assert received.startswith(b"HTTP/1.1 400 ")
         assert received.count(b"HTTP/1.1 ") == 1
-        assert not site.seen
-        assert site.bad
+        assert not harness.requests
+        assert harness.bad_request_errors
 
     run(test)
 
 
 def test_a_head_over_the_limit_is_refused():
-    async def test(site):
-        site.server.limits = Limits(max_header_bytes=500)
+    async def test(harness):
+        harness.server.limits = Limits(max_header_bytes=500)
         data = b"GET / HTTP/1.1\r\n" + HOST + b"X: " + b"a" * 600 + b"\r\n\r\n"
-        assert (await site.talk(data)).startswith(b"HTTP/1.1 431 ")
+        assert (await harness.send_and_read_all(data)).startswith(b"HTTP/1.1 431 ")
 
     run(test)
 
@@ -210,18 +216,18 @@
     ],
 )
 def test_a_body_over_the_limit_is_refused(rest):
-    async def test(site):
-        site.server.limits = Limits(max_body_bytes=10)
-        received = await site.talk(b"POST / HTTP/1.1\r\n" + HOST + rest)
+    async def test(harness):
+        harness.server.limits = Limits(max_body_bytes=10)
+        received = await harness.send_and_read_all(b"POST / HTTP/1.1\r\n" + HOST + rest)
         assert received.startswith(b"HTTP/1.1 413 ")
 
     run(test)
 
 
 def test_an_unfinished_head_is_given_up():
-    async def test(site):
-        site.server.limits = Limits(header_timeout_s=0.1)
-        reader, writer = await site.open()
+    async def test(harness):
+        harness.server.limits = Limits(header_timeout_s=0.1)
+        reader, writer = await harness.open()
         writer.write(b"GET / HTTP/1.1\r\nHost:")
         answer = await asyncio.wait_for(reader.read(), 5)
         assert answer.startswith(b"HTTP/1.1 400 ")
@@ -231,9 +237,11 @@
 
 
 def test_a_closing_server_answers_what_it_has_and_says_that_it_closes():
-    async def test(site):
-        site.server.is_closing = True
-        received = await site.talk(b"GET /last HTTP/1.1\r\n" + HOST + b"\r\n")
+    async def test(harness):
+        harness.server.is_closing = True
+        received = await harness.send_and_read_all(
+            b"GET /last HTTP/1.1\r\n" + HOST + b"\r\n"
+        )
         assert b"Connection: close" in received
         assert received.endswith(b"GET /last ")
 
--- a/tests/net/test_link.py
+++ b/tests/net/test_link.py
@@ -4,7 +4,7 @@
 
 from tamarackhaven.net._link import Link
 
-SILENT_S = 0.75
+PROBE_TIMEOUT_S = 0.75
 
 
 class Transport:
@@ -29,24 +29,24 @@
 
 @pytest.fixture
 def link():
-    made = Link(None, None, None)
-    made._transport = Transport()
-    made.heard_at_s = 10.0
-    return made
+    new_link = Link(None, None, None)
+    new_link._transport = Transport()
+    new_link.heard_at_s = 10.0
+    return new_link
 
 
 def test_a_link_that_was_heard_of_late_is_not_probed(link):
-    link.probe(10.2, SILENT_S, quiet_s=0.25)
+    link.probe(10.2, PROBE_TIMEOUT_S, min_idle_s=0.25)
     assert link._transport.unsent_bytes == 0
-    link.probe(10.3, SILENT_S, quiet_s=0.25)
+    link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
     assert link._transport.unsent_bytes > 0
 
 
 def test_a_link_without_an_answer_to_a_probe_is_given_up(link):
-    link.probe(10.3, SILENT_S, quiet_s=0.25)
-    link.probe(11.0, SILENT_S)
+    link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
+    link.probe(11.0, PROBE_TIMEOUT_S)
     assert not link._transport.is_aborted
-    link.probe(11.1, SILENT_S)
+    link.probe(11.1, PROBE_TIMEOUT_S)
     assert link._transport.is_aborted
 
 
@@ -55,12 +55,12 @@
     # given up, the link would lose the body and all that it carries besides.
     transport = link._transport
     transport.unsent_bytes = 500_000
-    link.probe(10.3, SILENT_S, quiet_s=0.25)
+    link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
     for number in range(1, 9):
         transport.unsent_bytes = 500_000 - 50_000 * number
-        link.probe(10.3 + 0.25 * number, SILENT_S)
+        link.probe(10.3 + 0.25 * number, PROBE_TIMEOUT_S)
     assert not transport.is_aborted
-    link.probe(13.5, SILENT_S)
+    link.probe(13.5, PROBE_TIMEOUT_S)
     assert transport.is_aborted, "nothing has left for more than the allowed time"
 
 
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -47,7 +47,7 @@
     1.0,
     source={"x": [1]},
 )
-CONTROL = [
+CONTROL_MESSAGES = [
     Report(1, TARGET, (Hold(0, 1, 2),), (Release(0, 1, "t"),), GrantId(1, 2), ("x@1",)),
     Report(2),
     LeaseGrant(1, GrantId(3, 4), 2.5, "i@1", (KeyRange(0, 9, 1, "i@1", "t"),)),
@@ -76,7 +76,7 @@
     9.5,
     -1.0,
 )
-PEER = [
+PEER_MESSAGES = [
     FORWARD,
     Answered(1, 200, ((b"A", b"b"),), b"\xff\x00"),
     NotRun(1, "X", 0.5, True),
@@ -84,12 +84,14 @@
 ]
 
 
-@pytest.mark.parametrize("message", CONTROL, ids=lambda each: type(each).__name__)
+@pytest.mark.parametrize(
+    "message", CONTROL_MESSAGES, ids=lambda each: type(each).__name__
+)
 def test_control_messages_come_back_equal(message):
     assert CONTROL_CODEC.unpack(CONTROL_CODEC.pack(message)) == message
 
 
-@pytest.mark.parametrize("message", PEER, ids=lambda each: type(each).__name__)
+@pytest.mark.parametrize("message", PEER_MESSAGES, ids=lambda each: type(each).__name__)
 def test_peer_messages_come_back_equal(message):
     assert PEER_CODEC.unpack(PEER_CODEC.pack(message)) == message
 
@@ -110,13 +112,13 @@
 
 
 def test_a_packed_message_is_sent_as_it_is():
-    data = CONTROL_CODEC.pack(CONTROL[0])
+    data = CONTROL_CODEC.pack(CONTROL_MESSAGES[0])
     assert CONTROL_CODEC.pack(Packed(data)) == data
 
 
-@pytest.mark.parametrize("cut", [1, 20, 200])
-def test_a_compressed_message_that_is_cut_short_is_refused(cut):
-    packed = zlib.compress(msgpack.packb([3, [1] * 4000]))[:-cut]
+@pytest.mark.parametrize("missing_bytes", [1, 20, 200])
+def test_a_compressed_message_that_is_cut_short_is_refused(missing_bytes):
+    packed = zlib.compress(msgpack.packb([3, [1] * 4000]))[:-missing_bytes]
     with pytest.raises(TamarackhavenError):
         CONTROL_CODEC.unpack(msgpack.packb(["ConfigurationView", packed]))
 
@@ -126,8 +128,8 @@
     codec = Codec((MemberHello,))
     metrics = Metrics()
     hello = MemberHello("a", "h", 1)
-    codec.note_sent(hello, 10)
-    codec.note_sent(codec.packed(hello), 5)
+    codec.count_sent(hello, 10)
+    codec.count_sent(codec.packed(hello), 5)
     codec.tell(metrics)
     assert 'tamarackhaven_link_sent_bytes{kind="MemberHello"} 15' in metrics.page()
 
