--- a/tamarackhaven/routing/_edit.py
+++ b/tamarackhaven/routing/_edit.py
@@ -7,7 +7,7 @@
 
 # A request kept waiting for longer than this holds a connection for nothing; the
 # longest that the users declare is a few minutes.
-LONGEST_TIMEOUT_S = 600.0
+MAX_TIMEOUT_S = 600.0
 
 
 @attrs.frozen
@@ -86,25 +86,25 @@
         raise _invalid(f"version {configuration.version} is not above the present one")
     _check_unique([service.name for service in configuration.services], "service")
     _check_unique([route.name for route in configuration.routes], "route")
-    places = [(route.host, route.prefix) for route in configuration.routes]
-    _check_unique(places, "host and prefix")
+    host_prefix_pairs = [(route.host, route.prefix) for route in configuration.routes]
+    _check_unique(host_prefix_pairs, "host and prefix")
     known = configuration.service_by_name
     for route in configuration.routes:
         _check_route(route, known)
 
 
-def _check_unique(values, what):
-    seen = set()
+def _check_unique(values, description):
+    seen_values = set()
     for value in values:
-        if value in seen:
-            raise _invalid(f"{what} {value!r} stands twice")
-        seen.add(value)
+        if value in seen_values:
+            raise _invalid(f"{description} {value!r} stands twice")
+        seen_values.add(value)
 
 
 def _check_route(route, known):
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise _invalid(f"route {route.name!r}: prefix {route.prefix!r} needs slashes")
-    if not 0 < route.timeout_s <= LONGEST_TIMEOUT_S:
+    if not 0 < route.timeout_s <= MAX_TIMEOUT_S:
         raise _invalid(f"route {route.name!r}: timeout {route.timeout_s} s")
     if not route.parts:
         raise _invalid(f"route {route.name!r} names no service")
--- a/tamarackhaven/routing/_match.py
+++ b/tamarackhaven/routing/_match.py
@@ -15,18 +15,18 @@
         self.service_by_name = configuration.service_by_name
         self._route_by_prefix_by_host = {}
         for route in configuration.routes:
-            by_prefix = self._route_by_prefix_by_host.setdefault(route.host, {})
-            by_prefix[route.prefix] = route
+            route_by_prefix = self._route_by_prefix_by_host.setdefault(route.host, {})
+            route_by_prefix[route.prefix] = route
 
     def find(self, host, path):
         """Return the route with the longest prefix that begins ``path``, or None."""
-        by_prefix = self._route_by_prefix_by_host.get(host)
-        if by_prefix is None:
+        route_by_prefix = self._route_by_prefix_by_host.get(host)
+        if route_by_prefix is None:
             return None
         # Prefixes end with a slash, so only the path's own slashes need a look.
         end = path.rfind("/")
         while end >= 0:
-            route = by_prefix.get(path[: end + 1])
+            route = route_by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
@@ -49,13 +49,13 @@
         if len(route.parts) == 1:
             return route.parts[0].service
         parts = tuple((part.service, part.weight) for part in route.parts)
-        kept = self._credit_by_route.get(route.name)
-        if kept is None or kept[0] != parts:
-            kept = (parts, dict.fromkeys((name for name, _ in parts), 0.0))
-            self._credit_by_route[route.name] = kept
-        credit = kept[1]
+        stored = self._credit_by_route.get(route.name)
+        if stored is None or stored[0] != parts:
+            stored = (parts, dict.fromkeys((name for name, _ in parts), 0.0))
+            self._credit_by_route[route.name] = stored
+        credit_by_service = stored[1]
         for name, weight in parts:
-            credit[name] += weight
-        chosen = max(credit, key=credit.get)
-        credit[chosen] -= sum(weight for _, weight in parts)
-        return chosen
+            credit_by_service[name] += weight
+        chosen_service = max(credit_by_service, key=credit_by_service.get)
+        credit_by_service[chosen_service] -= sum(weight for _, weight in parts)
+        return chosen_service
