--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-THEIR_NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"active_holds|weighted_services|virtual_hosts|heartbeat_addr|path_routes|"
     r"[Tt]amarackhaven-(Attempt|Shard-Key|Expected|Not-Exec|Response-S|Instance)|"
     r"TAMARACKHAVEN_BOOT"
@@ -17,29 +17,29 @@
     # The folder at the root has the name of a standard module; a package there would
     # break every library that asks for the system's name.
     code = "import platform; print(platform.system())"
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True
     )
-    assert found.stdout.strip() == "Linux", found.stderr
+    assert result.stdout.strip() == "Linux", result.stderr
 
 
 def test_no_module_of_the_product_knows_the_platforms_names():
     for path in (ROOT / "tamarackhaven").rglob("*.py"):
-        assert not THEIR_NAMES.search(path.read_text()), path
+        assert not PLATFORM_NAMES.search(path.read_text()), path
 
 
 def test_an_unknown_role_is_refused():
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "platform", "other"], cwd=ROOT, capture_output=True, text=True
     )
-    assert found.returncode == 2
-    assert "usage" in found.stderr
+    assert result.returncode == 2
+    assert "usage" in result.stderr
 
 
 def test_settings_that_are_missing_stop_the_start_with_a_code():
     for role in ("daemon", "control"):
-        found = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "platform", role], cwd=ROOT, capture_output=True, text=True
         )
-        assert found.returncode == 80, found.stderr
-        assert "TH702" in found.stderr
+        assert result.returncode == 80, result.stderr
+        assert "TH702" in result.stderr
--- a/tests/platform_adapter/test_wire_documents.py
+++ b/tests/platform_adapter/test_wire_documents.py
@@ -46,7 +46,7 @@
         }
     ],
 }
-BEAT = {
+HEARTBEAT = {
     "address": "10.0.0.1:80",
     "born": 1700000000000,
     "info": {"service": "a", "version": "v1", "zone": "z", "max_concurrency": 6},
@@ -115,13 +115,13 @@
 def test_a_document_that_cannot_be_read_in_full_is_invalid(mutation):
     path, value = mutation
     document = json.loads(json.dumps(DOCUMENT))
-    place = document
+    parent = document
     for key in path[:-1]:
-        place = place[key]
+        parent = parent[key]
     if value is ...:
-        del place[path[-1]]
+        del parent[path[-1]]
     else:
-        place[path[-1]] = value
+        parent[path[-1]] = value
     with pytest.raises(TamarackhavenError) as caught:
         documents.read_configuration(document)
     assert caught.value.kind is ErrorKind.INVALID_RESOURCE
@@ -140,12 +140,16 @@
 
 
 def test_a_heartbeat_is_read():
-    beat = read_heartbeat("i-1", json.dumps(BEAT).encode())
-    assert (beat.name, beat.born_ms, beat.sequence) == ("i-1", 1700000000000, 4)
-    assert beat.phase is TargetPhase.DRAINING
-    assert beat.cold_s == 1.5
-    assert beat.holds == (Hold(0, 4095, 7),)
-    assert beat.releases == (Release(4096, 8191, "token"),)
+    heartbeat = read_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
+    assert (heartbeat.name, heartbeat.born_ms, heartbeat.sequence) == (
+        "i-1",
+        1700000000000,
+        4,
+    )
+    assert heartbeat.phase is TargetPhase.DRAINING
+    assert heartbeat.cold_s == 1.5
+    assert heartbeat.holds == (Hold(0, 4095, 7),)
+    assert heartbeat.releases == (Release(4096, 8191, "token"),)
 
 
 JSON = st.recursive(
@@ -179,11 +183,11 @@
 def test_a_foreign_heartbeat_is_read_or_refused_with_a_code(path, value):
     # Another writer's bytes come to the registry. Whatever they are, the daemon goes
     # on; an exception without a code would be an internal error.
-    document = json.loads(json.dumps(BEAT))
-    place = document
+    document = json.loads(json.dumps(HEARTBEAT))
+    parent = document
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
+        parent = parent[key]
+    parent[path[-1]] = value
     try:
         read_heartbeat("i-1", json.dumps(document).encode())
     except TamarackhavenError as error:
--- a/tests/platform_adapter/test_wire_headers.py
+++ b/tests/platform_adapter/test_wire_headers.py
@@ -20,7 +20,7 @@
 def test_what_the_system_sets_is_not_passed_on_from_the_caller():
     # A caller that could name the calling service or the target would get around
     # what they are checked for.
-    asked = DIALECT.read_request(
+    caller_request = DIALECT.read_request(
         request(
             ATTEMPT,
             (b"tamarackhaven-caller-service", b"forged"),
@@ -29,9 +29,9 @@
             (b"X-Other", b"kept"),
         )
     )
-    names = [name.lower() for name, _ in asked.headers]
+    names = [name.lower() for name, _ in caller_request.headers]
     assert names == [b"host", b"tamarackhaven-attempt-id", b"x-other"]
-    assert asked.deadline_ms == 900.0
+    assert caller_request.deadline_ms == 900.0
 
 
 @pytest.mark.parametrize(
