--- a/tamarackhaven/routing/__init__.py
+++ b/tamarackhaven/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The declared services and routes: model, changes and lookup. Pure."""
+"""The configuration of services and routes: model, edits and lookup. No I/O."""
 
 from tamarackhaven.routing._edit import Edit, bare, check, difference, edited
 from tamarackhaven.routing._match import RouteTable, Splitter
--- a/tamarackhaven/routing/_edit.py
+++ b/tamarackhaven/routing/_edit.py
@@ -1,18 +1,21 @@
-"""How a configuration follows from another one, and why a change is refused."""
+"""Applies, computes and validates changes of a configuration."""
 
 import attrs
 
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.routing._model import Configuration, Limits, Route, ServiceSpec
 
-# A request kept waiting for longer than this holds a connection for nothing; the
-# longest that the users declare is a few minutes.
+# A request that waits longer than this occupies a connection for nothing. The longest
+# timeout that users configure is a few minutes.
 MAX_TIMEOUT_S = 600.0
 
 
 @attrs.frozen
 class Edit:
-    """Named items to add or replace, and names to remove."""
+    """Services and routes to add, replace or remove, by name.
+
+    ``limits`` replaces the limits unless it is None.
+    """
 
     version: int
     services: tuple[ServiceSpec, ...] = ()
@@ -23,7 +26,7 @@
 
 
 def edited(current, edit):
-    """Return ``current`` with the items of ``edit`` added, replaced and removed."""
+    """Return the configuration that results from applying ``edit`` to ``current``."""
     services = {**current.service_by_name}
     for name in edit.removed_services:
         services.pop(name, None)
@@ -41,9 +44,9 @@
 
 
 def difference(old, new):
-    """Return the ``Edit`` that leads from one configuration to another.
+    """Return the ``Edit`` that turns the configuration ``old`` into ``new``.
 
-    The order of services and routes is not kept; it means nothing.
+    The order of services and routes has no meaning and isn't kept.
     """
     return Edit(
         version=new.version,
@@ -56,10 +59,10 @@
 
 
 def bare(declared):
-    """Return a ``Configuration`` or ``Edit`` without the fields as declared.
+    """Return a ``Configuration`` or ``Edit`` without its ``source`` fields.
 
-    They are read back from control VMs only; to a daemon they would be two thirds of
-    the bytes.
+    Only control VMs need ``source``, to return the configuration as it was declared.
+    It would make up two thirds of the bytes that are sent to a daemon.
     """
     limits = declared.limits
     return attrs.evolve(
@@ -75,12 +78,12 @@
 
 
 def check(configuration, current_version):
-    """Refuse a configuration that can't be in force.
+    """Validate a configuration against itself and the current version.
 
     Raises
     ------
     TamarackhavenError
-        INVALID_RESOURCE, naming the item and what is wrong with it.
+        INVALID_RESOURCE, with the invalid item and the reason.
     """
     if configuration.version <= current_version:
         raise _invalid(f"version {configuration.version} is not above the present one")
--- a/tamarackhaven/routing/_match.py
+++ b/tamarackhaven/routing/_match.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request, and the part of a split route that it goes to."""
+"""Finds the route of a request and selects one of the route's services."""
 
 
 class RouteTable:
@@ -7,7 +7,7 @@
     Parameters
     ----------
     configuration : Configuration
-        Checked.
+        Must have passed ``check``.
     """
 
     def __init__(self, configuration):
@@ -19,11 +19,11 @@
             route_by_prefix[route.prefix] = route
 
     def find(self, host, path):
-        """Return the route with the longest prefix that begins ``path``, or None."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or None."""
         route_by_prefix = self._route_by_prefix_by_host.get(host)
         if route_by_prefix is None:
             return None
-        # Prefixes end with a slash, so only the path's own slashes need a look.
+        # Prefixes end with a slash, so only the slashes of the path are tried.
         end = path.rfind("/")
         while end >= 0:
             route = route_by_prefix.get(path[: end + 1])
@@ -34,18 +34,20 @@
 
 
 class Splitter:
-    """Spreads the requests of split routes by weight.
+    """Distributes the requests of a route over its services by weight.
 
-    Each part has a credit that grows by its weight; the part with the most credit
-    takes the request and pays for it. The shares are exact within one request a part,
-    where random choice would be off by a tenth at a few hundred requests.
+    This is smooth weighted round robin: for each request the credit of every service
+    grows by its weight, the service with the most credit gets the request, and its
+    credit is reduced by the sum of the weights. The shares are exact within one
+    request per service; random choice would be off by a tenth at a few hundred
+    requests.
     """
 
     def __init__(self):
         self._credit_by_route = {}
 
     def pick(self, route):
-        """Return the name of the service that takes the next request of ``route``."""
+        """Return the name of the service that gets the next request of ``route``."""
         if len(route.parts) == 1:
             return route.parts[0].service
         parts = tuple((part.service, part.weight) for part in route.parts)
--- a/tamarackhaven/routing/_model.py
+++ b/tamarackhaven/routing/_model.py
@@ -1,6 +1,6 @@
-"""What operators declare about requests: services, routes and limits, as one whole.
+"""Configuration model: services, routes and request limits.
 
-A ``Configuration`` is frozen; a change makes a new one. Times are in seconds.
+A ``Configuration`` is immutable; a change creates a new one. Times are in seconds.
 """
 
 import enum
@@ -9,44 +9,44 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated."""
+    """How often a request may run, which decides whether it can be retried."""
 
     SAFE = "safe"  # may run any number of times
-    UNSAFE = "unsafe"  # runs at most once for each attempt of a caller
-    UPLOAD = "upload"  # as unsafe, with a large body
+    UNSAFE = "unsafe"  # runs at most once per attempt of a caller
+    UPLOAD = "upload"  # like UNSAFE, with a large body
 
 
 class HoldOrders(enum.Enum):
-    """How the targets of a service are told which keys to hold."""
+    """How the targets of a service learn which keys they own."""
 
-    HEARTBEATS = "heartbeats"  # in the answers to their heartbeats
-    CALLS = "calls"  # by calls to them
+    HEARTBEATS = "heartbeats"  # in the responses to their heartbeats
+    CALLS = "calls"  # by HTTP calls to the target
 
 
 @attrs.frozen
 class ServiceSpec:
-    """A service that requests go to.
+    """A service that requests are routed to.
 
     Parameters
     ----------
     name : str
-        Unique.
+        Unique among services.
     health_path : str
-        Path that a target answers with its health.
+        Path of a target's health check.
     max_connections : int
-        Connections that a target takes from all callers combined.
+        Most connections that a target accepts, over all callers combined.
     cold_s : float
-        How long a target stays cold after its start.
+        Seconds for which a target stays cold after its start.
     cold_per_s : float
-        Requests a second that a cold target bears.
+        Requests per second that a cold target can handle.
     sharded : bool
-        Whether each key has one owner among the targets.
+        Whether each key is owned by exactly one target.
     warmup_s : float
-        How long keys stay slow that came without a handover.
+        Seconds for which keys stay slow after they were moved without a handover.
     hold_orders : HoldOrders
-        How its targets are told their keys.
+        How its targets learn which keys they own.
     source : dict
-        Fields as they were declared, to be read back unchanged.
+        Fields as they were declared, to return them unchanged.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """One part of a split route."""
+    """A service of a route and its weight, relative to the route's other services."""
 
     service: str
     weight: float
@@ -70,24 +70,24 @@
 
 @attrs.frozen
 class Route:
-    """Where the requests of one host below one path prefix go.
+    """Routes the requests for one host and path prefix to services.
 
     Parameters
     ----------
     name : str
-        Unique over all hosts.
+        Unique among the routes of all hosts.
     host, prefix : str
-        The longest prefix of a host's routes wins.
+        The route with the longest matching prefix of the host is used.
     kind : RequestKind
-        What may be repeated.
+        Whether a request may run more than once.
     parts : tuple of WeightedService
-        One or more services.
+        The services that share the requests; at least one.
     timeout_s : float
-        Longest time a request may be kept waiting.
+        Longest time in seconds that a request may wait for its response.
     objective_s : float
-        Time within which an answer is in time.
+        Latency objective: seconds within which a response counts as in time.
     priority : int
-        0 is the most urgent.
+        0 is the highest priority.
     max_attempts : int
         Most targets that one attempt may be sent to.
     source : dict
@@ -108,7 +108,11 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of requests, and timeouts of caller connections.
+
+    ``header_timeout_s`` limits the time to send a request head, ``idle_timeout_s`` the
+    time between requests, both in seconds.
+    """
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 64 << 20
@@ -119,7 +123,7 @@
 
 @attrs.frozen
 class Configuration:
-    """All services, routes and limits under one version; 0 is none at all."""
+    """All services, routes and limits of one version; version 0 is empty."""
 
     version: int = 0
     services: tuple[ServiceSpec, ...] = ()
@@ -128,10 +132,10 @@
 
     @property
     def service_by_name(self):
-        """Services by name."""
+        """The services, keyed by name."""
         return {service.name: service for service in self.services}
 
     @property
     def route_by_name(self):
-        """Routes by name."""
+        """The routes, keyed by name."""
         return {route.name: route for route in self.routes}
