--- a/tamarackhaven/net/_http_client.py
+++ b/tamarackhaven/net/_http_client.py
@@ -115,7 +115,7 @@
             If the connection failed before a complete reply arrived.
         """
         if not self.is_open:
-            raise RequestNotSentError("closed while idle")
+            raise RequestNotSentError("connection was closed while idle")
         headers = list(headers)
         if body or method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             headers.append((b"Content-Length", str(len(body)).encode()))
@@ -156,7 +156,7 @@
             self._parser.receive_data(data)
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._abort_request(f"not HTTP: {error}")
+            self._abort_request(f"response is not valid HTTP/1.1: {error}")
 
     def _parse(self):
         while True:
@@ -171,13 +171,13 @@
                 self._body.append(bytes(event.data))
                 self._body_bytes += len(event.data)
                 if self._body_bytes > MAX_REPLY_BYTES:
-                    self._abort_request("answer too large")
+                    self._abort_request("response body exceeds the size limit")
                     return
             elif isinstance(event, h11.EndOfMessage):
                 if self._complete_reply():
                     return
             elif isinstance(event, h11.ConnectionClosed):
-                self._abort_request("closed before the answer")
+                self._abort_request("connection closed before the response")
                 return
 
     def _complete_reply(self):
@@ -190,7 +190,9 @@
         ends_connection = self._parser.their_state is h11.MUST_CLOSE
         if not self._is_expected_reply(reply):
             if ends_connection:
-                self._abort_request("closed behind another request's answer")
+                self._abort_request(
+                    "connection closed after the response to an earlier request"
+                )
                 return True
             # Parse the next response as the reply to the current request.
             self._start_parser()
@@ -229,7 +231,7 @@
             self._parser.receive_data(b"")
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._abort_request(f"broken off: {error}")
+            self._abort_request(f"response is incomplete: {error}")
         return False
 
     def connection_lost(self, error):
--- a/tamarackhaven/net/_http_head.py
+++ b/tamarackhaven/net/_http_head.py
@@ -29,21 +29,21 @@
     # Request smuggling: some parsers end a line at a bare line feed and some don't, so
     # a request could be hidden inside another one. Neither of the two is forwarded.
     if head.count(b"\n") != head.count(b"\r\n"):
-        raise _malformed("a bare line feed")
+        raise _malformed("bare line feed in the head")
     if end < 0:
         if len(buffer) > limit:
             raise TamarackhavenError(
-                ErrorKind.HEADERS_TOO_LARGE, f"more than {limit} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"head exceeds {limit} bytes"
             )
         return None
     if end > limit:
         raise TamarackhavenError(
-            ErrorKind.HEADERS_TOO_LARGE, f"more than {limit} bytes"
+            ErrorKind.HEADERS_TOO_LARGE, f"head exceeds {limit} bytes"
         )
     if b"\r\n " in head or b"\r\n\t" in head:
-        raise _malformed("a folded header")
+        raise _malformed("folded header")
     if head.split(b"\r\n", 1)[0].rsplit(b" ", 1)[-1] not in _VERSIONS:
-        raise _malformed("not HTTP/1.1")
+        raise _malformed("protocol version is neither HTTP/1.0 nor HTTP/1.1")
     return end + len(HEAD_END)
 
 
@@ -62,9 +62,9 @@
     """
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        raise _malformed("both a length and a transfer encoding")
+        raise _malformed("both Content-Length and Transfer-Encoding are present")
     if names.count(b"host") > 1:
-        raise _malformed("two hosts")
+        raise _malformed("more than one Host header")
 
 
 def _malformed(detail):
--- a/tamarackhaven/net/_http_server.py
+++ b/tamarackhaven/net/_http_server.py
@@ -167,7 +167,10 @@
         elif self._reading_exchange is None and self._buffer:
             if now - self.active_at_s > limits.header_timeout_s + SWEEP_INTERVAL_S:
                 self._reject(
-                    TamarackhavenError(ErrorKind.MALFORMED_REQUEST, "too slow")
+                    TamarackhavenError(
+                        ErrorKind.MALFORMED_REQUEST,
+                        "head not received within the header timeout",
+                    )
                 )
         elif self._should_close(now):
             self._transport.close()
@@ -247,7 +250,7 @@
 
     def _body_too_large(self):
         return TamarackhavenError(
-            ErrorKind.BODY_TOO_LARGE, f"more than {self._max_body_bytes} bytes"
+            ErrorKind.BODY_TOO_LARGE, f"body exceeds {self._max_body_bytes} bytes"
         )
 
     def _on_body_data(self, exchange, data):
@@ -264,7 +267,9 @@
         if not self._server.body_budget.reserve(count, exchange.reserved_bytes):
             reserved_bytes = self._server.body_budget.reserved_bytes
             raise TamarackhavenError(
-                ErrorKind.BODIES_FULL, f"{reserved_bytes} bytes", BODIES_RETRY_AFTER_S
+                ErrorKind.BODIES_FULL,
+                f"{reserved_bytes} bytes of bodies are buffered",
+                BODIES_RETRY_AFTER_S,
             )
         exchange.reserved_bytes += count
 
--- a/tamarackhaven/net/_wire.py
+++ b/tamarackhaven/net/_wire.py
@@ -104,7 +104,7 @@
         except Exception as error:
             # The libraries raise many exception types for invalid input.
             raise TamarackhavenError(
-                ErrorKind.MALFORMED_REQUEST, f"not a message: {error!r}"
+                ErrorKind.MALFORMED_REQUEST, f"cannot decode message: {error!r}"
             ) from error
 
 
@@ -112,5 +112,5 @@
     unpacker = zlib.decompressobj()
     fields = unpacker.decompress(data, MAX_UNPACKED_BYTES)
     if not unpacker.eof:
-        raise ValueError("cut short or too large")
+        raise ValueError("compressed data is truncated or unpacks to too many bytes")
     return fields
--- a/tamarackhaven/routing/_edit.py
+++ b/tamarackhaven/routing/_edit.py
@@ -86,7 +86,9 @@
         INVALID_RESOURCE, with the invalid item and the reason.
     """
     if configuration.version <= current_version:
-        raise _invalid(f"version {configuration.version} is not above the present one")
+        raise _invalid(
+            f"version {configuration.version} is not above the current version"
+        )
     _check_unique([service.name for service in configuration.services], "service")
     _check_unique([route.name for route in configuration.routes], "route")
     host_prefix_pairs = [(route.host, route.prefix) for route in configuration.routes]
@@ -100,24 +102,28 @@
     seen_values = set()
     for value in values:
         if value in seen_values:
-            raise _invalid(f"{description} {value!r} stands twice")
+            raise _invalid(f"{description} {value!r} is defined twice")
         seen_values.add(value)
 
 
 def _check_route(route, known):
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        raise _invalid(f"route {route.name!r}: prefix {route.prefix!r} needs slashes")
+        raise _invalid(
+            f"route {route.name!r}: prefix {route.prefix!r} must be enclosed in slashes"
+        )
     if not 0 < route.timeout_s <= MAX_TIMEOUT_S:
-        raise _invalid(f"route {route.name!r}: timeout {route.timeout_s} s")
+        raise _invalid(
+            f"route {route.name!r}: timeout {route.timeout_s} s is out of range"
+        )
     if not route.parts:
-        raise _invalid(f"route {route.name!r} names no service")
+        raise _invalid(f"route {route.name!r}: no services")
     for part in route.parts:
         if part.service not in known:
-            raise _invalid(f"route {route.name!r}: no service {part.service!r}")
+            raise _invalid(f"route {route.name!r}: unknown service {part.service!r}")
         if part.weight < 0:
-            raise _invalid(f"route {route.name!r}: weight {part.weight} is below 0")
+            raise _invalid(f"route {route.name!r}: weight {part.weight} is negative")
     if sum(part.weight for part in route.parts) <= 0:
-        raise _invalid(f"route {route.name!r}: no service has a weight above 0")
+        raise _invalid(f"route {route.name!r}: the sum of its weights is not above 0")
 
 
 def _invalid(detail):
