--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against a server that sends exactly the bytes of each test."""
+"""The HTTP client, against a server that sends the exact bytes that a test gives."""
 
 import asyncio
 
@@ -12,7 +12,10 @@
 
 
 def send_requests(*responses, requests=1, pause_between_s=0.0):
-    """Return the ends of requests on one connection to a scripted server."""
+    """Send requests on one connection to a server that replies with ``responses``.
+
+    Returns the reply or the type of the error of each request, and the connection.
+    """
 
     async def main():
         async def serve(reader, writer):
@@ -58,7 +61,7 @@
     )
 
 
-def test_a_whole_answer_leaves_the_connection_usable():
+def test_complete_reply_leaves_the_connection_reusable():
     outcomes, connection = send_requests(
         response_with_id(b"id-0"), response_with_id(b"id-1"), requests=2
     )
@@ -74,15 +77,15 @@
         b"",
     ],
 )
-def test_an_answer_that_breaks_off_is_none(response):
-    # A target crashes or spoils its answer. Passed on, it would look whole to the
-    # caller; the request may have run, so nothing says that it did not.
+def test_incomplete_reply_fails_the_request_as_unanswered(response):
+    # A target crashes or sends a malformed response. Forwarded, it would look complete
+    # to the caller. The request may have run, so it isn't reported as not sent.
     outcomes, connection = send_requests(response)
     assert outcomes == [RequestUnansweredError]
     assert not connection.is_open
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
+def test_reply_without_a_length_ends_with_the_connection():
     outcomes, connection = send_requests(
         b"HTTP/1.1 200 OK\r\nId: id-0\r\n\r\nall of it"
     )
@@ -90,7 +93,7 @@
     assert not connection.is_open
 
 
-def test_an_extra_answer_behind_a_whole_one_closes_the_connection():
+def test_extra_reply_after_a_complete_one_closes_the_connection():
     outcomes, connection = send_requests(
         response_with_id(b"id-0") + response_with_id(b"id-0", b"extra")
     )
@@ -98,10 +101,10 @@
     assert not connection.is_open
 
 
-def test_a_late_answer_to_an_earlier_request_is_skipped():
-    # A target sends a second answer to the first request late, where the answer to
-    # the second one is due. Without a look at the id, one caller would get the
-    # answer that belongs to another.
+def test_late_reply_to_an_earlier_request_is_skipped():
+    # A target replies to the first request twice, and its second reply arrives while
+    # the second request is in flight. If the id weren't checked, one caller would
+    # receive the reply to another caller's request.
     outcomes, _ = send_requests(
         response_with_id(b"id-0"),
         response_with_id(b"id-0", b"extra") + response_with_id(b"id-1", b"right"),
@@ -110,7 +113,7 @@
     assert outcomes[1].body == b"right"
 
 
-def test_bytes_that_nobody_asked_for_close_an_idle_connection():
+def test_unsolicited_bytes_close_an_idle_connection():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -132,7 +135,7 @@
     asyncio.run(main())
 
 
-def test_the_time_that_the_server_keeps_a_connection_is_read():
+def test_keep_alive_timeout_of_the_server_is_read():
     response = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
     _, connection = send_requests(response)
     assert connection.idle_limit_s == 7.0
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server, by raw bytes over real connections on loopback."""
+"""The HTTP server, tested with raw bytes over loopback connections."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class ServerHarness:
-    """A server with a handler that waits where the test says so."""
+    """A running server whose handler can be blocked for single request targets."""
 
     def __init__(self):
         self.requests = []
@@ -47,7 +47,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send_and_read_all(self, data):
-        """Send bytes, return all that comes until the server closes or is silent."""
+        """Send bytes; return all that is received until a close or 1 s of silence."""
         reader, writer = await self.open()
         writer.write(data)
         received = b""
@@ -68,10 +68,10 @@
     asyncio.run(main())
 
 
-def test_pipelined_requests_run_side_by_side_and_are_answered_in_order():
-    # A caller sends a slow request and a fast one behind it. If the fast one waited
-    # for the slow one it would be late; if it were answered first, the caller would
-    # take its answer for that of the slow one.
+def test_pipelined_requests_run_concurrently_and_are_answered_in_order():
+    # A caller pipelines a slow request and a fast one. If the fast one only started
+    # after the slow one, it would be late. If it were answered first, the caller would
+    # take the response for that of the slow request.
     async def test(harness):
         harness.release_event_by_target["/slow"] = asyncio.Event()
         reader, writer = await harness.open()
@@ -87,7 +87,7 @@
     run(test)
 
 
-def test_a_caller_that_leaves_cancels_its_requests():
+def test_closed_caller_connection_cancels_its_requests():
     async def test(harness):
         harness.release_event_by_target["/a"] = asyncio.Event()
         _, writer = await harness.open()
@@ -104,7 +104,7 @@
     run(test)
 
 
-def test_bodies_come_whole_from_a_length_and_from_chunks():
+def test_sized_and_chunked_bodies_are_received_completely():
     async def test(harness):
         head = b"POST /x HTTP/1.1\r\n" + HOST
         sized = head + b"Content-Length: 5\r\n\r\nhello"
@@ -117,9 +117,9 @@
     run(test)
 
 
-def test_bodies_beyond_the_bytes_held_are_refused_before_they_are_read():
-    # Many callers send large bodies at once. Collected whole, they would fill the
-    # memory, and the process would be ended with all that it works on.
+def test_body_over_the_budget_is_refused_before_it_is_read():
+    # Many callers send large bodies at once. Buffered completely, they would exhaust
+    # the memory, and the process would be killed with every request in flight.
     async def test(harness):
         harness.server.body_budget = BodyBudget(1000)
         harness.release_event_by_target["/slow"] = asyncio.Event()
@@ -144,7 +144,7 @@
     run(test)
 
 
-def test_a_caller_that_leaves_gives_its_bytes_back():
+def test_closed_caller_connection_releases_its_reserved_bytes():
     async def test(harness):
         _, writer = await harness.open()
         writer.write(b"POST / HTTP/1.1\r\n" + HOST + b"Content-Length: 900\r\n\r\nhalf")
@@ -157,7 +157,7 @@
     run(test)
 
 
-def test_one_body_of_any_size_fits_alone():
+def test_single_body_may_exceed_the_budget():
     budget = BodyBudget(100)
     assert budget.reserve(150) and budget.reserve(50, already_reserved_bytes=150)
     assert not budget.reserve(1)
@@ -184,9 +184,10 @@
         b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n",
     ],
 )
-def test_what_two_parsers_could_read_differently_is_refused(head):
-    # What follows such a head could be served as a request of its own, under another
-    # caller's rights. It is answered 400 and the connection closes.
+def test_ambiguous_head_is_refused(head):
+    # Request smuggling: the bytes after such a head could be served as a separate
+    # request, with another caller's rights. The server responds with 400 and closes the
+    # connection.
     async def test(harness):
         received = await harness.send_and_read_all(
             head + b"GET /hidden HTTP/1.1\r\n" + HOST + b"\r\n"
@@ -199,7 +200,7 @@
     run(test)
 
 
-def test_a_head_over_the_limit_is_refused():
+def test_head_over_the_limit_is_refused():
     async def test(harness):
         harness.server.limits = Limits(max_header_bytes=500)
         data = b"GET / HTTP/1.1\r\n" + HOST + b"X: " + b"a" * 600 + b"\r\n\r\n"
@@ -215,7 +216,7 @@
         b"Transfer-Encoding: chunked\r\n\r\nb\r\n" + b"a" * 11 + b"\r\n",
     ],
 )
-def test_a_body_over_the_limit_is_refused(rest):
+def test_body_over_the_limit_is_refused(rest):
     async def test(harness):
         harness.server.limits = Limits(max_body_bytes=10)
         received = await harness.send_and_read_all(b"POST / HTTP/1.1\r\n" + HOST + rest)
@@ -224,7 +225,7 @@
     run(test)
 
 
-def test_an_unfinished_head_is_given_up():
+def test_incomplete_head_is_refused_after_the_header_timeout():
     async def test(harness):
         harness.server.limits = Limits(header_timeout_s=0.1)
         reader, writer = await harness.open()
@@ -236,7 +237,7 @@
     run(test)
 
 
-def test_a_closing_server_answers_what_it_has_and_says_that_it_closes():
+def test_closing_server_answers_a_request_with_connection_close():
     async def test(harness):
         harness.server.is_closing = True
         received = await harness.send_and_read_all(
--- a/tests/net/test_link.py
+++ b/tests/net/test_link.py
@@ -1,4 +1,4 @@
-"""When a link between processes counts as dead."""
+"""Probes on links between processes, and when a link is aborted."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class Transport:
-    """Takes bytes, and says how many of them are unsent."""
+    """A transport that never sends; it only counts the bytes written to it."""
 
     def __init__(self):
         self.unsent_bytes = 0
@@ -35,14 +35,14 @@
     return new_link
 
 
-def test_a_link_that_was_heard_of_late_is_not_probed(link):
+def test_recently_active_link_is_not_probed(link):
     link.probe(10.2, PROBE_TIMEOUT_S, min_idle_s=0.25)
     assert link._transport.unsent_bytes == 0
     link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
     assert link._transport.unsent_bytes > 0
 
 
-def test_a_link_without_an_answer_to_a_probe_is_given_up(link):
+def test_link_is_aborted_when_a_probe_stays_unanswered(link):
     link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
     link.probe(11.0, PROBE_TIMEOUT_S)
     assert not link._transport.is_aborted
@@ -50,9 +50,9 @@
     assert link._transport.is_aborted
 
 
-def test_a_link_that_still_sends_a_large_message_is_kept(link):
-    # A body takes seconds on a VM's small link. The answer to a probe waits behind it;
-    # given up, the link would lose the body and all that it carries besides.
+def test_link_is_kept_while_a_large_message_is_being_sent(link):
+    # A body takes seconds on a VM's slow link and delays the reply to a probe. Aborting
+    # the link would lose the body and everything else in flight on it.
     transport = link._transport
     transport.unsent_bytes = 500_000
     link.probe(10.3, PROBE_TIMEOUT_S, min_idle_s=0.25)
@@ -61,10 +61,10 @@
         link.probe(10.3 + 0.25 * number, PROBE_TIMEOUT_S)
     assert not transport.is_aborted
     link.probe(13.5, PROBE_TIMEOUT_S)
-    assert transport.is_aborted, "nothing has left for more than the allowed time"
+    assert transport.is_aborted, "no bytes were sent for longer than the probe timeout"
 
 
-def test_a_link_says_how_much_of_a_message_is_still_to_come(link):
+def test_arriving_bytes_counts_the_missing_bytes_of_a_partial_frame(link):
     assert link.arriving_bytes == 0
     link.data_received((100).to_bytes(4, "big") + bytes(30))
     assert link.arriving_bytes == 70
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages between processes, and bytes that are none."""
+"""Encoding and decoding of messages between processes, and of invalid bytes."""
 
 import zlib
 
@@ -87,44 +87,44 @@
 @pytest.mark.parametrize(
     "message", CONTROL_MESSAGES, ids=lambda each: type(each).__name__
 )
-def test_control_messages_come_back_equal(message):
+def test_control_messages_round_trip(message):
     assert CONTROL_CODEC.unpack(CONTROL_CODEC.pack(message)) == message
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES, ids=lambda each: type(each).__name__)
-def test_peer_messages_come_back_equal(message):
+def test_peer_messages_round_trip(message):
     assert PEER_CODEC.unpack(PEER_CODEC.pack(message)) == message
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=100))
-def test_bytes_that_are_no_message_are_refused_with_a_code(data):
+def test_invalid_bytes_are_refused_with_a_code(data):
     with pytest.raises(TamarackhavenError):
         CONTROL_CODEC.unpack(data)
 
 
-def test_a_large_view_is_compressed_and_comes_back_equal():
+def test_large_view_is_compressed_and_round_trips():
     routes = tuple(attrs.evolve(ROUTE, name=f"r{n}", source={}) for n in range(400))
     view = ConfigurationView(3, Configuration(2, (), routes))
     data = CONTROL_CODEC.pack(view)
-    assert len(data) < 8000, "20 bytes a route"
+    assert len(data) < 8000, "more than 20 bytes per route"
     assert CONTROL_CODEC.unpack(data) == view
 
 
-def test_a_packed_message_is_sent_as_it_is():
+def test_packed_message_is_not_packed_again():
     data = CONTROL_CODEC.pack(CONTROL_MESSAGES[0])
     assert CONTROL_CODEC.pack(Packed(data)) == data
 
 
 @pytest.mark.parametrize("missing_bytes", [1, 20, 200])
-def test_a_compressed_message_that_is_cut_short_is_refused(missing_bytes):
+def test_truncated_compressed_message_is_refused(missing_bytes):
     packed = zlib.compress(msgpack.packb([3, [1] * 4000]))[:-missing_bytes]
     with pytest.raises(TamarackhavenError):
         CONTROL_CODEC.unpack(msgpack.packb(["ConfigurationView", packed]))
 
 
-def test_bytes_are_counted_by_the_kind_of_message():
-    # Guards against: a link that is full, and nobody can say of what.
+def test_sent_bytes_are_counted_by_message_class():
+    # Without these counts nobody can tell which messages saturate a link.
     codec = Codec((MemberHello,))
     metrics = Metrics()
     hello = MemberHello("a", "h", 1)
@@ -134,8 +134,9 @@
     assert 'tamarackhaven_link_sent_bytes{kind="MemberHello"} 15' in metrics.page()
 
 
-def test_an_owners_ranges_are_not_sent_with_its_name_in_full_each_time():
-    # Guards against: grants, several a second to each daemon, that fill small links.
+def test_grant_does_not_repeat_the_owner_name_for_each_range():
+    # Grants are sent to each daemon several times a second. With the owner's full name
+    # in every range they would saturate slow links.
     life = "i-394c744dc6@1770364434065@10.1.0.29:7400"
     ranges = tuple(
         KeyRange(n * 8192, n * 8192 + 8191, 400 + n, life, "5c0e7a21d94b36f8")
--- a/tests/platform_adapter/conftest.py
+++ b/tests/platform_adapter/conftest.py
@@ -1,4 +1,4 @@
-"""The adapter's modules are top-level: its folder is what ``python3 platform`` runs."""
+"""Puts the adapter's folder on the module path, as ``python3 platform`` does."""
 
 import sys
 from pathlib import Path
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's folder: it shadows nothing, and keeps the platform's names inside."""
+"""The adapter's folder shadows no module and alone contains the platform's names."""
 
 import re
 import subprocess
@@ -13,9 +13,9 @@
 )
 
 
-def test_the_standard_platform_module_is_still_found():
-    # The folder at the root has the name of a standard module; a package there would
-    # break every library that asks for the system's name.
+def test_standard_platform_module_is_not_shadowed():
+    # The folder at the root has the name of a standard library module. If it were a
+    # package, every library that reads the system's name would fail.
     code = "import platform; print(platform.system())"
     result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True
@@ -23,12 +23,12 @@
     assert result.stdout.strip() == "Linux", result.stderr
 
 
-def test_no_module_of_the_product_knows_the_platforms_names():
+def test_product_modules_do_not_contain_platform_names():
     for path in (ROOT / "tamarackhaven").rglob("*.py"):
         assert not PLATFORM_NAMES.search(path.read_text()), path
 
 
-def test_an_unknown_role_is_refused():
+def test_unknown_role_is_refused():
     result = subprocess.run(
         [sys.executable, "platform", "other"], cwd=ROOT, capture_output=True, text=True
     )
@@ -36,7 +36,7 @@
     assert "usage" in result.stderr
 
 
-def test_settings_that_are_missing_stop_the_start_with_a_code():
+def test_missing_settings_end_the_start_with_a_code():
     for role in ("daemon", "control"):
         result = subprocess.run(
             [sys.executable, "platform", role], cwd=ROOT, capture_output=True, text=True
--- a/tests/platform_adapter/test_wire_documents.py
+++ b/tests/platform_adapter/test_wire_documents.py
@@ -1,4 +1,4 @@
-"""Configuration documents and heartbeats, well formed and not."""
+"""Decoding of valid and invalid configuration documents and heartbeats."""
 
 import json
 
@@ -56,7 +56,7 @@
 }
 
 
-def test_a_configuration_is_read_and_written_back_as_it_was():
+def test_configuration_document_round_trips():
     configuration = documents.read_configuration(DOCUMENT)
     check(configuration, 0)
     assert documents.write_configuration(configuration) == DOCUMENT
@@ -67,7 +67,7 @@
     assert two.objective_s == 1.5
 
 
-def test_an_edit_replaces_by_name_and_removes():
+def test_edit_replaces_and_removes_routes_by_name():
     configuration = documents.read_configuration(DOCUMENT)
     host = DOCUMENT["virtual_hosts"][0]
     changed = host["path_routes"][1] | {"timeout_s": 9, "path_prefix": "/z/"}
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize(
     "mutation", [m for _, m in mutations() if isinstance(m, tuple)]
 )
-def test_a_document_that_cannot_be_read_in_full_is_invalid(mutation):
+def test_document_with_a_missing_or_wrong_field_is_invalid(mutation):
     path, value = mutation
     document = json.loads(json.dumps(DOCUMENT))
     parent = document
@@ -128,18 +128,18 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"version": "r1"', b"\xff"])
-def test_a_body_that_is_no_document_is_invalid(body):
+def test_body_that_is_not_a_json_object_is_invalid(body):
     with pytest.raises(TamarackhavenError):
         documents.read_configuration(documents.read_document(body))
 
 
 @pytest.mark.parametrize("text", ["r", "x1", "r-1", "r1.5", "", "r²"])
-def test_a_version_that_is_no_number_is_invalid(text):
+def test_version_without_a_number_is_invalid(text):
     with pytest.raises(TamarackhavenError):
         documents.read_version(text)
 
 
-def test_a_heartbeat_is_read():
+def test_heartbeat_is_decoded():
     heartbeat = read_heartbeat("i-1", json.dumps(HEARTBEAT).encode())
     assert (heartbeat.name, heartbeat.born_ms, heartbeat.sequence) == (
         "i-1",
@@ -180,9 +180,9 @@
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.sampled_from(PATHS), JSON)
-def test_a_foreign_heartbeat_is_read_or_refused_with_a_code(path, value):
-    # Another writer's bytes come to the registry. Whatever they are, the daemon goes
-    # on; an exception without a code would be an internal error.
+def test_heartbeat_with_any_field_value_is_decoded_or_refused_with_a_code(path, value):
+    # Another program may send bytes to the registry port. Whatever they are, the daemon
+    # must keep running; an exception without a code would be an internal error.
     document = json.loads(json.dumps(HEARTBEAT))
     parent = document
     for key in path[:-1]:
@@ -196,14 +196,14 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_bytes_that_are_no_heartbeat_are_refused_with_a_code(data):
+def test_invalid_heartbeat_bytes_are_refused_with_a_code(data):
     with pytest.raises(TamarackhavenError):
         read_heartbeat("i-1", data)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.dictionaries(st.sampled_from([*DOCUMENT, "upsert", "remove"]), JSON))
-def test_a_foreign_configuration_is_read_or_refused_with_a_code(document):
+def test_configuration_with_any_field_value_is_decoded_or_refused_with_a_code(document):
     for read in (documents.read_configuration, documents.read_edit):
         try:
             read(document)
--- a/tests/platform_adapter/test_wire_headers.py
+++ b/tests/platform_adapter/test_wire_headers.py
@@ -1,4 +1,4 @@
-"""Headers of the users' platform."""
+"""Headers of requests, replies and errors on the users' platform."""
 
 import pytest
 from wire_headers import PlatformDialect
@@ -17,9 +17,9 @@
     return HttpRequest("GET", "/a/b", ((b"Host", b"h"), *headers), b"", 0.0)
 
 
-def test_what_the_system_sets_is_not_passed_on_from_the_caller():
-    # A caller that could name the calling service or the target would get around
-    # what they are checked for.
+def test_headers_set_by_the_daemon_are_not_accepted_from_the_caller():
+    # A caller that could set the calling service or the expected target would bypass
+    # the checks on them.
     caller_request = DIALECT.read_request(
         request(
             ATTEMPT,
@@ -46,7 +46,7 @@
         [ATTEMPT, (b"Tamarackhaven-Shard-Key", b"x")],
     ],
 )
-def test_a_malformed_header_is_named(headers):
+def test_malformed_header_is_refused_with_a_code(headers):
     with pytest.raises(TamarackhavenError) as caught:
         DIALECT.read_request(request(*headers))
     assert caught.value.kind is ErrorKind.BAD_HEADER
@@ -67,11 +67,11 @@
         (421, [], Verdict.NOT_HERE),
     ],
 )
-def test_verdicts(status, headers, verdict):
+def test_reply_is_classified_by_status_and_headers(status, headers, verdict):
     assert DIALECT.judge(Reply(status, tuple(headers), b""), "abc") is verdict
 
 
-def test_a_refusal_names_its_code_and_when_to_come_back():
+def test_refusal_has_its_code_and_a_retry_after_header():
     error = TamarackhavenError(ErrorKind.QUEUE_FULL, "", 0.25)
     response = DIALECT.refusal(error)
     assert response.status == 503
