--- a/tamarackhaven/net/_http_server.py
+++ b/tamarackhaven/net/_http_server.py
@@ -31,7 +31,8 @@
 # just before the timeout isn't lost with its connection.
 IDLE_GRACE_S = 3.0
 SWEEP_INTERVAL_S = 0.5
-# A connection is aborted if its write buffer stays full for longer than this.
+# A connection is aborted when its caller doesn't read the responses, so that the write
+# buffer stays full for longer than this.
 WRITE_STALL_TIMEOUT_S = 30.0
 _HOP_BY_HOP_HEADERS = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade "
@@ -204,7 +205,7 @@
             self._reject(error)
 
     def _feed_parser(self):
-        """Feed the buffer to the current request's parser; false if more is needed."""
+        """Feed the buffer to the parser; return false if more bytes are needed."""
         if self._reading_exchange is None:
             limit = self._server.limits.max_header_bytes
             length = _http_head.head_length(self._buffer, limit)
@@ -350,8 +351,9 @@
             self.active_at_s = boot_s()
             if closes_connection:
                 self._has_stopped_reading = True
-                # The connection ends with this response, so the requests after it
-                # can't be answered any more and are cancelled.
+                # No request after this one was passed to the handler: reading stops
+                # at a request that closes the connection, and a closing server closes
+                # it only after the last pending response.
                 self._transport.close()
                 self._cancel_pending()
                 return
