--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -52,7 +52,7 @@
     return asyncio.run(main())
 
 
-def response_with_id(name, body=b"body"):
+def answer(name, body=b"body"):
     length = str(len(body)).encode()
     return b"HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %s\r\n\r\n%s" % (
         name,
@@ -62,9 +62,7 @@
 
 
 def test_complete_reply_leaves_the_connection_reusable():
-    outcomes, connection = send_requests(
-        response_with_id(b"id-0"), response_with_id(b"id-1"), requests=2
-    )
+    outcomes, connection = send_requests(answer(b"id-0"), answer(b"id-1"), requests=2)
     assert [outcome.body for outcome in outcomes] == [b"body", b"body"]
 
 
@@ -94,9 +92,7 @@
 
 
 def test_extra_reply_after_a_complete_one_closes_the_connection():
-    outcomes, connection = send_requests(
-        response_with_id(b"id-0") + response_with_id(b"id-0", b"extra")
-    )
+    outcomes, connection = send_requests(answer(b"id-0") + answer(b"id-0", b"extra"))
     assert outcomes[0].body == b"body"
     assert not connection.is_open
 
@@ -106,8 +102,8 @@
     # the second request is in flight. If the id weren't checked, one caller would
     # receive the reply to another caller's request.
     outcomes, _ = send_requests(
-        response_with_id(b"id-0"),
-        response_with_id(b"id-0", b"extra") + response_with_id(b"id-1", b"right"),
+        answer(b"id-0"),
+        answer(b"id-0", b"extra") + answer(b"id-1", b"right"),
         requests=2,
     )
     assert outcomes[1].body == b"right"
@@ -117,9 +113,9 @@
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(response_with_id(b"id-0"))
+            writer.write(answer(b"id-0"))
             await asyncio.sleep(0.05)
-            writer.write(response_with_id(b"id-0", b"extra"))
+            writer.write(answer(b"id-0", b"extra"))
             await asyncio.sleep(0.2)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
