--- a/tamarackhaven/net/_body_budget.py
+++ b/tamarackhaven/net/_body_budget.py
@@ -1,45 +1,46 @@
-"""How many bytes of requests' bodies a process holds at once. Pure.
+"""Limits the bytes of request bodies that a process buffers at once. No I/O.
 
-Load: many callers send large bodies at the same time. Harm: collected whole, they fill
-the memory, and the process is ended with all that it works on. Limit: so many bytes;
-what comes beyond is refused before it is read.
+Bodies are buffered whole. Without a limit, many callers that send large bodies at the
+same time would exhaust the memory, and the process would be killed with every request
+in flight. A body that exceeds the limit is refused before it is read.
 """
 
 
 class BodyBudget:
-    """Counts the bytes of bodies that are read or worked on.
+    """Counts the bytes of request bodies that are being read or handled.
 
     Parameters
     ----------
-    most_bytes : int
-        Held at once; one body of any allowed size fits when nothing else is held.
+    max_bytes : int
+        Most bytes reserved at once. A body of any size that the configured limits
+        allow is accepted while nothing else is reserved.
     """
 
-    def __init__(self, most_bytes):
-        self._most_bytes = most_bytes
-        self._held_bytes = 0
+    def __init__(self, max_bytes):
+        self._max_bytes = max_bytes
+        self._reserved_bytes = 0
 
     @property
-    def held_bytes(self):
-        """Bytes held now."""
-        return self._held_bytes
+    def reserved_bytes(self):
+        """Bytes currently reserved."""
+        return self._reserved_bytes
 
-    def take(self, count, own_bytes=0):
-        """Take bytes if there is room for them; tell whether there was.
+    def reserve(self, count, already_reserved_bytes=0):
+        """Reserve bytes if the limit allows it; return whether it did.
 
         Parameters
         ----------
         count : int
-            Bytes to take.
-        own_bytes : int
-            What the same body has taken already.
+            Bytes to reserve.
+        already_reserved_bytes : int
+            Bytes that the same body has reserved before.
         """
-        is_only = self._held_bytes == own_bytes
-        if not is_only and self._held_bytes + count > self._most_bytes:
+        is_only_reservation = self._reserved_bytes == already_reserved_bytes
+        if not is_only_reservation and self._reserved_bytes + count > self._max_bytes:
             return False
-        self._held_bytes += count
+        self._reserved_bytes += count
         return True
 
-    def give_back(self, count):
-        """Give back what was taken."""
-        self._held_bytes -= count
+    def release(self, count):
+        """Release ``count`` reserved bytes."""
+        self._reserved_bytes -= count
--- a/tamarackhaven/net/_http_head.py
+++ b/tamarackhaven/net/_http_head.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages: refuses what two parsers could read differently."""
+"""Rejects HTTP message heads that two parsers could interpret differently."""
 
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
@@ -6,8 +6,8 @@
 _VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
 
 
-def find(headers, name):
-    """Return the first value of the header ``name`` (lower case), None without one."""
+def find_header(headers, name):
+    """Return the first value of the header ``name`` (lower case), or None."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -15,39 +15,40 @@
 
 
 def head_length(buffer, limit):
-    """Return the length of the head that ``buffer`` starts with, None if unfinished.
+    """Return the bytes of the head at the start of ``buffer``, None if incomplete.
 
     Raises
     ------
     TamarackhavenError
-        HEADERS_TOO_LARGE, or MALFORMED_REQUEST for a head that a lenient parser
-        would take: bare line feeds, folded lines, other versions of the protocol.
+        HEADERS_TOO_LARGE if the head has more than ``limit`` bytes, or
+        MALFORMED_REQUEST for a head that a lenient parser would accept: bare line
+        feeds, folded headers, other versions of the protocol.
     """
     end = buffer.find(HEAD_END)
-    seen = buffer if end < 0 else buffer[:end]
-    # Failure: a bare line feed ends a line for one parser and not for the next one.
-    # Symptom: a request hides inside another one. Enough: neither is passed on.
-    if seen.count(b"\n") != seen.count(b"\r\n"):
-        raise _malformed("a bare line feed")
+    head = buffer if end < 0 else buffer[:end]
+    # Request smuggling: some parsers end a line at a bare line feed and some don't, so
+    # a request could be hidden inside another one. Neither of the two is forwarded.
+    if head.count(b"\n") != head.count(b"\r\n"):
+        raise _malformed("bare line feed in the head")
     if end < 0:
         if len(buffer) > limit:
             raise TamarackhavenError(
-                ErrorKind.HEADERS_TOO_LARGE, f"more than {limit} bytes"
+                ErrorKind.HEADERS_TOO_LARGE, f"head exceeds {limit} bytes"
             )
         return None
     if end > limit:
         raise TamarackhavenError(
-            ErrorKind.HEADERS_TOO_LARGE, f"more than {limit} bytes"
+            ErrorKind.HEADERS_TOO_LARGE, f"head exceeds {limit} bytes"
         )
-    if b"\r\n " in seen or b"\r\n\t" in seen:
-        raise _malformed("a folded header")
-    if seen.split(b"\r\n", 1)[0].rsplit(b" ", 1)[-1] not in _VERSIONS:
-        raise _malformed("not HTTP/1.1")
+    if b"\r\n " in head or b"\r\n\t" in head:
+        raise _malformed("folded header")
+    if head.split(b"\r\n", 1)[0].rsplit(b" ", 1)[-1] not in _VERSIONS:
+        raise _malformed("protocol version is neither HTTP/1.0 nor HTTP/1.1")
     return end + len(HEAD_END)
 
 
 def check_framing(headers):
-    """Refuse a request whose length is stated in two ways.
+    """Reject a request with an ambiguous body length or several ``Host`` headers.
 
     Parameters
     ----------
@@ -61,9 +62,9 @@
     """
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        raise _malformed("both a length and a transfer encoding")
+        raise _malformed("both Content-Length and Transfer-Encoding are present")
     if names.count(b"host") > 1:
-        raise _malformed("two hosts")
+        raise _malformed("more than one Host header")
 
 
 def _malformed(detail):
--- a/tests/net/test_http_client.py
+++ b/tests/net/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client against a server that sends exactly the bytes of each test."""
+"""The HTTP client, against a server that sends the exact bytes that a test gives."""
 
 import asyncio
 
@@ -11,14 +11,17 @@
 )
 
 
-def exchange(*scripts, requests=1, pause_s=0.0):
-    """Return the ends of requests on one connection to a scripted server."""
+def send_requests(*responses, requests=1, pause_between_s=0.0):
+    """Send requests on one connection to a server that replies with ``responses``.
+
+    Returns the reply or the type of the error of each request, and the connection.
+    """
 
     async def main():
         async def serve(reader, writer):
-            for script in scripts:
+            for response in responses:
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(script)
+                writer.write(response)
                 await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
@@ -26,21 +29,25 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connection = await ClientConnection.open("127.0.0.1", port, 1.0)
-        ends = []
+        outcomes = []
         for number in range(requests):
             name = f"id-{number}".encode()
 
-            def is_ours(reply, name=name):
+            def is_expected_reply(reply, name=name):
                 return reply.header(b"id") in (None, name)
 
             try:
                 headers = [(b"Host", b"h"), (b"Id", name)]
-                ends.append(await connection.request("GET", "/", headers, b"", is_ours))
+                outcomes.append(
+                    await connection.request(
+                        "GET", "/", headers, b"", is_expected_reply
+                    )
+                )
             except (RequestNotSentError, RequestUnansweredError) as error:
-                ends.append(type(error))
-            await asyncio.sleep(pause_s)
+                outcomes.append(type(error))
+            await asyncio.sleep(pause_between_s)
         server.close()
-        return ends, connection
+        return outcomes, connection
 
     return asyncio.run(main())
 
@@ -54,13 +61,13 @@
     )
 
 
-def test_a_whole_answer_leaves_the_connection_usable():
-    ends, connection = exchange(answer(b"id-0"), answer(b"id-1"), requests=2)
-    assert [end.body for end in ends] == [b"body", b"body"]
+def test_complete_reply_leaves_the_connection_reusable():
+    outcomes, connection = send_requests(answer(b"id-0"), answer(b"id-1"), requests=2)
+    assert [outcome.body for outcome in outcomes] == [b"body", b"body"]
 
 
 @pytest.mark.parametrize(
-    "script",
+    "response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
@@ -68,39 +75,41 @@
         b"",
     ],
 )
-def test_an_answer_that_breaks_off_is_none(script):
-    # A target crashes or spoils its answer. Passed on, it would look whole to the
-    # caller; the request may have run, so nothing says that it did not.
-    ends, connection = exchange(script)
-    assert ends == [RequestUnansweredError]
+def test_incomplete_reply_fails_the_request_as_unanswered(response):
+    # A target crashes or sends a malformed response. Forwarded, it would look complete
+    # to the caller. The request may have run, so it isn't reported as not sent.
+    outcomes, connection = send_requests(response)
+    assert outcomes == [RequestUnansweredError]
     assert not connection.is_open
 
 
-def test_an_answer_without_a_length_ends_with_its_connection():
-    ends, connection = exchange(b"HTTP/1.1 200 OK\r\nId: id-0\r\n\r\nall of it")
-    assert ends[0].body == b"all of it"
+def test_reply_without_a_length_ends_with_the_connection():
+    outcomes, connection = send_requests(
+        b"HTTP/1.1 200 OK\r\nId: id-0\r\n\r\nall of it"
+    )
+    assert outcomes[0].body == b"all of it"
     assert not connection.is_open
 
 
-def test_an_extra_answer_behind_a_whole_one_closes_the_connection():
-    ends, connection = exchange(answer(b"id-0") + answer(b"id-0", b"extra"))
-    assert ends[0].body == b"body"
+def test_extra_reply_after_a_complete_one_closes_the_connection():
+    outcomes, connection = send_requests(answer(b"id-0") + answer(b"id-0", b"extra"))
+    assert outcomes[0].body == b"body"
     assert not connection.is_open
 
 
-def test_a_late_answer_to_an_earlier_request_is_skipped():
-    # A target sends a second answer to the first request late, where the answer to
-    # the second one is due. Without a look at the id, one caller would get the
-    # answer that belongs to another.
-    ends, _ = exchange(
+def test_late_reply_to_an_earlier_request_is_skipped():
+    # A target replies to the first request twice, and its second reply arrives while
+    # the second request is in flight. If the id weren't checked, one caller would
+    # receive the reply to another caller's request.
+    outcomes, _ = send_requests(
         answer(b"id-0"),
         answer(b"id-0", b"extra") + answer(b"id-1", b"right"),
         requests=2,
     )
-    assert ends[1].body == b"right"
+    assert outcomes[1].body == b"right"
 
 
-def test_bytes_that_nobody_asked_for_close_an_idle_connection():
+def test_unsolicited_bytes_close_an_idle_connection():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -122,7 +131,7 @@
     asyncio.run(main())
 
 
-def test_the_time_that_the_server_keeps_a_connection_is_read():
-    script = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
-    _, connection = exchange(script)
+def test_keep_alive_timeout_of_the_server_is_read():
+    response = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
+    _, connection = send_requests(response)
     assert connection.idle_limit_s == 7.0
