--- a/tests/outer_names.py
+++ b/tests/outer_names.py
@@ -92,7 +92,7 @@
         ),
         "headers and paths": _matching(product, HEADER) + _matching(product, PATH),
         "metrics and their labels": _metrics(product),
-        "fields of log lines": _log_fields(product),
+        "fields of log lines": _log_fields(product + _trees("platform")),
         SENTENCES: _matched_sentences(),
         "names of the users' platform": _platform_names(),
         "settings templates and the deploy file": _deploy_keys(),
@@ -357,7 +357,7 @@
     """Return the sentences of log lines; in a conditional, each of them."""
     return {
         node.value
-        for call in _calls(_trees("tamarackhaven"), ("say",))
+        for call in _calls(_trees("tamarackhaven") + _trees("platform"), ("say",))
         if call.args
         for node in ast.walk(call.args[0])
         if _is_text(node)
