--- a/tamarackhaven/_metrics_app.py
+++ b/tamarackhaven/_metrics_app.py
@@ -37,7 +37,7 @@
             body = _codec.dumps(found, list[Refusal])
             answer = HttpAnswer(200, (("Content-Type", "application/json"),), body)
         else:
-            detail = f"Try {METRICS_PATH} or {REFUSALS_PATH}REQUEST-ID."
+            detail = f"Paths served: {METRICS_PATH} and {REFUSALS_PATH}REQUEST-ID."
             answer = answer_error(TamarackhavenError(ErrorKind.NOT_FOUND, detail))
         return respond(answer, start_response)
 
--- a/tamarackhaven/_settings.py
+++ b/tamarackhaven/_settings.py
@@ -33,7 +33,7 @@
 def _reject_bool(instance, attribute, value):
     """Reject true and false for a number; ``bool`` is a subclass of ``int``."""
     if isinstance(value, bool):
-        raise TypeError(f"{attribute.name} must be a number")
+        raise TypeError(f"{attribute.name} must be a number, not true or false")
 
 
 def _port_field():
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -115,7 +115,7 @@
     known = {field.name: field for field in attrs.fields(kind)}
     for key, value in row.items():
         if key not in known:
-            detail = f"{path}: {name} has no {key!r}."
+            detail = f"{path}: {name} has no field {key!r}."
             raise TamarackhavenError(ErrorKind.INVALID_RESOURCE, detail)
         expected_type = known[key].type
         if expected_type in (int, str) and type(value) is not expected_type:
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -210,7 +210,9 @@
 
 def _explain_request(request, daemon, output):
     if not daemon:
-        raise TamarackhavenError(ErrorKind.USAGE, "--request needs --daemon.")
+        raise TamarackhavenError(
+            ErrorKind.USAGE, "--request requires --daemon HOST:PORT."
+        )
     refusals = plumbing.refusals_of(daemon, request)
     for row in refusals:
         text = f"{row.at_unix_s:.3f} {row.code} {row.name}: {row.detail} "
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -198,5 +198,7 @@
     """Wait until ``condition()`` is true; fail after ``limit_s`` seconds."""
     until_s = time.monotonic() + limit_s
     while not condition():
-        assert time.monotonic() < until_s, "condition never became true"
+        assert time.monotonic() < until_s, (
+            "condition did not become true within the limit"
+        )
         time.sleep(0.005)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -12,4 +12,6 @@
     if os.environ.get("UPDATE_GOLDEN"):
         GOLDEN_FOLDER.mkdir(exist_ok=True)
         path.write_text(text)
-    assert text == path.read_text(), f"{path.name} differs; see UPDATE_GOLDEN"
+    assert text == path.read_text(), (
+        f"{path.name} differs; set UPDATE_GOLDEN to rewrite it"
+    )
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -121,7 +121,7 @@
         if isinstance(node, ast.FunctionDef) and node.name == function:
             table = next(item for item in ast.walk(node) if isinstance(item, ast.Dict))
             return [key.value for key in table.keys]
-    raise AssertionError(f"{module}.{function} is gone")
+    raise AssertionError(f"{module}.{function} not found")
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -54,4 +54,6 @@
         package, _, rest = module.partition(".")
         assert package not in FORBIDDEN_IMPORTS, module
         if package == "tamarackhaven":
-            assert rest in allowed_modules, f"{name} reaches {rest}, which is not pure"
+            assert rest in allowed_modules, (
+                f"{name} imports {rest}, which is not on the list"
+            )
