--- a/tamarackhaven/_json_lines.py
+++ b/tamarackhaven/_json_lines.py
@@ -59,7 +59,7 @@
             try:
                 os.write(self._descriptor, self._buffered_lines[0])
             except OSError:
-                # Nothing reads the log any more; the program continues without it.
+                # The log has no reader any more; the program continues without it.
                 self._buffered_lines.clear()
                 return
             self._buffered_lines.popleft()
--- a/tamarackhaven/_metrics_app.py
+++ b/tamarackhaven/_metrics_app.py
@@ -33,8 +33,8 @@
             page = metrics.page().encode()
             answer = HttpAnswer(200, (("Content-Type", CONTENT_TYPE),), page)
         elif path.startswith(REFUSALS_PATH) and refusals is not None:
-            found = refusals.find(unquote(path.removeprefix(REFUSALS_PATH)))
-            body = _codec.dumps(found, list[Refusal])
+            matches = refusals.find(unquote(path.removeprefix(REFUSALS_PATH)))
+            body = _codec.dumps(matches, list[Refusal])
             answer = HttpAnswer(200, (("Content-Type", "application/json"),), body)
         else:
             detail = f"Paths served: {METRICS_PATH} and {REFUSALS_PATH}REQUEST-ID."
--- a/tamarackhaven/_settings.py
+++ b/tamarackhaven/_settings.py
@@ -210,7 +210,7 @@
 
 @attrs.frozen
 class DaemonSettings:
-    """A daemon that runs next to a target.
+    """Settings of a daemon, which runs next to a target.
 
     Parameters
     ----------
--- a/tamarackhaven/plumbing.py
+++ b/tamarackhaven/plumbing.py
@@ -135,15 +135,15 @@
 def records(client, timeout_s, linearizable=True):
     """Return the state's version and its resources, targets and grants, as a list."""
     feed = client.fetch(0, timeout_s, linearizable)
-    found = []
+    found_records = []
     for event in feed.events:
         if isinstance(event, _events.ResourceChanged):
-            found.append(event.resource)
+            found_records.append(event.resource)
         elif isinstance(event, _events.TargetChanged):
-            found.append(event.member)
+            found_records.append(event.member)
         elif isinstance(event, _events.ShardChanged):
-            found.append(event.grant)
-    return feed.version, found
+            found_records.append(event.grant)
+    return feed.version, found_records
 
 
 def apply_resource(client, resource, change_id, timeout_s, allow_last_zone_out=False):
@@ -246,8 +246,8 @@
 
 
 def _find_current(client, kind, name, timeout_s):
-    _, found = records(client, timeout_s)
-    for record in found:
+    _, found_records = records(client, timeout_s)
+    for record in found_records:
         if type(record) is kind and record.name == name:
             return record
     return None
--- a/tamarackhaven/porcelain.py
+++ b/tamarackhaven/porcelain.py
@@ -132,9 +132,9 @@
             ErrorKind.USAGE, f"{kind!r} is not one of {', '.join(kinds)}."
         )
     with _ControlSession(settings) as session:
-        _, found = plumbing.records(session.calls, session.timeout_s)
+        _, records = plumbing.records(session.calls, session.timeout_s)
     shown = 0
-    for record in found:
+    for record in records:
         is_selected = (
             isinstance(record, kinds[kind]) if kind else _is_listed_by_default(record)
         )
@@ -229,12 +229,12 @@
     :param near: Also print other decisions from around that time.
     :param output: text or json.
     """
-    found = _trace.trace(
+    lines = _trace.trace(
         _trace.read_lines(plumbing.read_log_lines(logs)), request, near
     )
-    if not found:
+    if not lines:
         raise TamarackhavenError(ErrorKind.NOT_FOUND, f"request {request!r}")
-    for line in found:
+    for line in lines:
         _print_record(line, output, line.text)
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -89,8 +89,8 @@
 
 def settings_classes():
     """Return every settings class."""
-    found = inspect.getmembers(_settings, inspect.isclass)
-    return [cls for _, cls in found if cls.__module__ == _settings.__name__]
+    classes = inspect.getmembers(_settings, inspect.isclass)
+    return [cls for _, cls in classes if cls.__module__ == _settings.__name__]
 
 
 def metric_names():
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -11,9 +11,9 @@
     close = open_logs(LogSettings(file="logs/d.log"), tmp_path)
     Log("path").part("gate").say("full", "r1", "r1.7", waiting=3)
     close()
-    Log("gate").say("nobody reads this")
+    Log("gate").say("written after close")
     (line,) = (tmp_path / "logs/d.log").read_text().splitlines()
-    found = json.loads(line)
+    actual = json.loads(line)
     expected = {
         "sentence": "gate: full",
         "request_id": "r1",
@@ -21,7 +21,7 @@
         "waiting": 3,
         "message_type": "tamarackhaven:gate",
     }
-    assert {name: found[name] for name in expected} == expected
+    assert {name: actual[name] for name in expected} == expected
 
 
 def test_lines_above_the_repeat_limit_are_dropped_and_counted():
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -55,5 +55,5 @@
     for line in metrics.page().strip("\n").split("\n"):
         assert line.startswith("# ") or _SAMPLE_LINE.fullmatch(line), line
     expected_s = sorted(seconds)[max(0, -(-len(seconds) * 50 // 100) - 1)]
-    found = metrics.quantile_s(50, service=name, target="t")
-    assert abs(found - expected_s) <= expected_s * 0.02 + 0.000_002
+    median_s = metrics.quantile_s(50, service=name, target="t")
+    assert abs(median_s - expected_s) <= expected_s * 0.02 + 0.000_002
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -36,15 +36,15 @@
 
 def imported_modules(name):
     """Return the names of all modules that a module imports, also inside functions."""
-    found = set()
+    modules = set()
     for node in ast.walk(ast.parse((FOLDER / f"{name}.py").read_text())):
         if isinstance(node, ast.Import):
-            found.update(alias.name for alias in node.names)
+            modules.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module == "tamarackhaven":
-            found.update(f"tamarackhaven.{alias.name}" for alias in node.names)
+            modules.update(f"tamarackhaven.{alias.name}" for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            found.add(node.module)
-    return found
+            modules.add(node.module)
+    return modules
 
 
 @pytest.mark.parametrize("name", sorted(DECISION_MODULES | DATA_MODULES))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -18,14 +18,14 @@
 
 
 def test_trace_returns_lines_of_all_processes_in_order_of_time():
-    found = trace(read_lines(reversed(LOGS)), "x")
-    assert [line.sentence for line in found] == ["gate: not run", "caller: refused"]
-    assert "kind=FULL" in found[0].text
+    lines = trace(read_lines(reversed(LOGS)), "x")
+    assert [line.sentence for line in lines] == ["gate: not run", "caller: refused"]
+    assert "kind=FULL" in lines[0].text
 
 
 def test_trace_includes_nearby_lines_on_demand():
-    found = trace(read_lines(LOGS), "x", include_nearby=True)
-    assert [line.vm for line in found] == ["c", "b", "a"]
+    lines = trace(read_lines(LOGS), "x", include_nearby=True)
+    assert [line.vm for line in lines] == ["c", "b", "a"]
 
 
 def test_trace_command_prints_the_lines(tmp_path, capsys):
