--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -89,8 +89,8 @@
 
 def settings_classes():
     """Return every settings class."""
-    found = inspect.getmembers(_settings, inspect.isclass)
-    return [cls for _, cls in found if cls.__module__ == _settings.__name__]
+    classes = inspect.getmembers(_settings, inspect.isclass)
+    return [cls for _, cls in classes if cls.__module__ == _settings.__name__]
 
 
 def metric_names():
@@ -121,7 +121,7 @@
         if isinstance(node, ast.FunctionDef) and node.name == function:
             table = next(item for item in ast.walk(node) if isinstance(item, ast.Dict))
             return [key.value for key in table.keys]
-    raise AssertionError(f"{module}.{function} is gone")
+    raise AssertionError(f"{module}.{function} not found")
 
 
 @pytest.fixture(scope="module")
