--- a/tests/fleet/test_purity.py
+++ b/tests/fleet/test_purity.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.test_purity import FORBIDDEN
+from tests.test_purity import FORBIDDEN_IMPORTS
 
 ROOT = Path(__file__).parents[2] / "tamarackhaven"
 PURE = [
@@ -62,5 +62,5 @@
         elif isinstance(node, ast.ImportFrom):
             modules = [node.module]
         for module in modules:
-            assert module.partition(".")[0] not in FORBIDDEN, module
+            assert module.partition(".")[0] not in FORBIDDEN_IMPORTS, module
             assert module not in NO_INPUT_EITHER, module
