--- a/standin/__init__.py
+++ b/standin/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for a target, for the demo, the tests and the benches."""
+"""Simulated targets, callers and links for the demo, the tests and the benches."""
--- a/standin/cluster.py
+++ b/standin/cluster.py
@@ -1,7 +1,7 @@
 """Runs a whole deployment as real processes on the loopback interface.
 
-Used by the demo, by the tests of failures and by benches. It ends only the processes
-that it started, by their ids.
+Used by the demo, the failure tests and the benches. It kills only the processes that
+it started, by their process ids.
 """
 
 import json
@@ -21,13 +21,13 @@
 HOST = "127.0.0.1"
 STOP_S = 15.0
 START_S = 60.0
-PORTS = (15_000, 32_000)
-GIVEN_PORTS = set()
+PORT_RANGE = (15_000, 32_000)
+ALLOCATED_PORTS = set()
 
 
 @attrs.frozen
 class TargetSpec:
-    """One target with its daemon."""
+    """One target and the parameters of its simulated service."""
 
     service: str
     name: str
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Ports:
-    """The ports of one daemon and its target."""
+    """The TCP and UDP ports of one daemon and its target."""
 
     caller: int
     peer: int
@@ -50,14 +50,14 @@
 
 
 def free_port():
-    """Return a TCP port that is free for UDP, too, and was not given before.
+    """Return a port that is free for TCP and UDP and wasn't returned before.
 
-    It is below the range from which the system takes ports for outgoing connections:
-    one of those could take the port of a process that is down for a moment.
+    It is below the ephemeral port range: otherwise an outgoing connection could occupy
+    the port of a process while that process restarts.
     """
     while True:
-        port = random.randrange(*PORTS)
-        if port in GIVEN_PORTS:
+        port = random.randrange(*PORT_RANGE)
+        if port in ALLOCATED_PORTS:
             continue
         with socket.socket() as tcp, socket.socket(type=socket.SOCK_DGRAM) as udp:
             try:
@@ -65,31 +65,37 @@
                 udp.bind((HOST, port))
             except OSError:
                 continue
-        GIVEN_PORTS.add(port)
+        ALLOCATED_PORTS.add(port)
         return port
 
 
 def wait_until(condition, timeout_s, what):
-    """Wait until ``condition()`` is true; fail with ``what`` after ``timeout_s``."""
-    end = time.monotonic() + timeout_s
+    """Wait until ``condition()`` is true.
+
+    Raises
+    ------
+    TimeoutError
+        If it isn't true after ``timeout_s`` seconds; the text contains ``what``.
+    """
+    deadline_s = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise TimeoutError(f"not within {timeout_s} s: {what}")
+        if time.monotonic() > deadline_s:
+            raise TimeoutError(f"timed out after {timeout_s} s: {what}")
         time.sleep(0.02)
 
 
 class Cluster:
-    """A control group, daemons and stand-in targets.
+    """A control group, daemons and simulated targets.
 
     Parameters
     ----------
     folder : Path
-        Where all data folders and settings go; emptied first but for the unpacked
+        Contains all data folders and settings; emptied first, except for unpacked
         programs.
     program : list of str
         Command that runs the program.
     targets : list of TargetSpec
-        What to run.
+        Targets to run, each with a daemon.
     controls : int
         Number of control VMs.
     extra : dict of str to str
@@ -129,7 +135,7 @@
         for name in self.spec_by_name:
             self._write_daemon(name)
         operator = self._data_folder("operator") + self._control_rows
-        self._path("operator").write_text(operator)
+        self._settings_path("operator").write_text(operator)
 
     def write_control(self, name, more="", members=""):
         """Write the settings file of one control VM."""
@@ -137,15 +143,15 @@
         port = self.metrics_port_by_name[name] = free_port()
         text += _listen("metrics", port) + self._member_rows + members
         text += self.extra.get("control", "") + '\n[logs]\nfile = "log"\n'
-        self._path(name).write_text(text)
+        self._settings_path(name).write_text(text)
 
     def add_target(self, name, spec):
-        """Prepare another target; its own name in ``spec`` may be one in use."""
+        """Write the settings of another target; ``spec.name`` may already be in use."""
         self.spec_by_name[name] = spec
         self._write_daemon(name)
 
     def add_control(self, name):
-        """Prepare a control VM that joins the running group; return its ports."""
+        """Write the settings of a control VM that joins the group; return its ports."""
         port, lease_port = self.control_ports[name] = free_port(), free_port()
         row = f'name = "{name}"\nhost = "{HOST}"\nport = {port}\n'
         members = f"\n[[members]]\n{row}lease_port = {lease_port}\n"
@@ -162,9 +168,9 @@
             text += _listen(part, getattr(ports, part))
         text += _listen("target_address", ports.target) + self._control_rows
         text += self.extra.get("daemon", "") + '\n[logs]\nfile = "log"\n'
-        self._path(f"d-{name}").write_text(text)
+        self._settings_path(f"d-{name}").write_text(text)
 
-    def _path(self, name):
+    def _settings_path(self, name):
         folder = self.folder / name
         folder.mkdir(parents=True, exist_ok=True)
         return folder / "settings.toml"
@@ -173,7 +179,13 @@
         return f'data_folder = "{self.folder / name}"\n'
 
     def start(self, resources):
-        """Start everything, apply ``resources`` (TOML text), wait for owners."""
+        """Start all processes, apply ``resources`` (TOML text) and wait for owners.
+
+        Raises
+        ------
+        TimeoutError
+            If a shard has no owner in time.
+        """
         for name in self.control_names:
             self.start_control(name, "--first-start")
         self.apply(resources)
@@ -184,16 +196,16 @@
 
     def start_control(self, name, *words):
         """Start one control VM."""
-        settings = str(self._path(name))
+        settings = str(self._settings_path(name))
         self._start(name, [*self.program, "control", "--settings", settings, *words])
 
     def start_daemon(self, name):
-        """Start the daemon beside one target."""
-        settings = str(self._path(f"d-{name}"))
+        """Start the daemon of one target."""
+        settings = str(self._settings_path(f"d-{name}"))
         self._start(f"d-{name}", [*self.program, "daemon", "--settings", settings])
 
     def start_target(self, name):
-        """Start one stand-in target; its journal is ``journal-NAME``."""
+        """Start one simulated target; it logs its executions to ``journal-NAME``."""
         spec, ports = self.spec_by_name[name], self.ports_by_name[name]
         command = [sys.executable, "-m", "standin.target", "--port", str(ports.target)]
         command += ["--name", spec.name, "--service", spec.service]
@@ -216,20 +228,20 @@
         self.process_by_name[name].send_signal(number)
 
     def kill(self, *names):
-        """Kill processes and wait for their end."""
+        """Kill processes and wait until they have exited."""
         for name in names:
             self.process_by_name[name].kill()
         for name in names:
             self.process_by_name[name].wait(STOP_S)
 
     def terminate(self, name):
-        """Ask one process to end, wait, and return its exit code."""
+        """Send SIGTERM to one process, wait, and return its exit code."""
         process = self.process_by_name[name]
         process.terminate()
         return process.wait(STOP_S * 4)
 
     def stop(self):
-        """End all processes that still run."""
+        """Kill all processes that are still running."""
         running = [p for p in self.process_by_name.values() if p.poll() is None]
         for process in running:
             process.send_signal(signal.SIGCONT)
@@ -238,8 +250,8 @@
             process.wait(STOP_S)
 
     def command(self, *words, check=True):
-        """Run one operators' command and return the finished process."""
-        settings = ["--settings", str(self._path("operator"))]
+        """Run one operator command and return the completed process."""
+        settings = ["--settings", str(self._settings_path("operator"))]
         return subprocess.run(
             [*self.program, *words, *settings],
             cwd=ROOT,
@@ -250,40 +262,40 @@
         )
 
     def apply(self, resources, *words):
-        """Apply resources given as TOML text; return the finished process."""
+        """Apply resources given as TOML text; return the completed process."""
         path = self.folder / "resources.toml"
         path.write_text(resources)
         return self.command("apply", str(path), *words)
 
     def records(self, kind):
-        """Return the records in force of one kind, as dicts."""
-        done = self.command("get", kind, "--output", "json")
-        return [json.loads(line) for line in done.stdout.splitlines()]
+        """Return the current records of one kind, as dicts."""
+        completed = self.command("get", kind, "--output", "json")
+        return [json.loads(line) for line in completed.stdout.splitlines()]
 
     def all_owned(self):
-        """Whether every shard has an owner, and none is on the move."""
-        done = self.command("get", "shard", "--output", "json", check=False)
-        rows = [json.loads(line) for line in done.stdout.splitlines()]
+        """Whether every shard has an owner and none is being moved."""
+        completed = self.command("get", "shard", "--output", "json", check=False)
+        rows = [json.loads(line) for line in completed.stdout.splitlines()]
         return bool(rows) and all(r["owner"] and not r["moving_to"] for r in rows)
 
     def leader(self):
-        """Return the name of the control VM that leads, or an empty text."""
-        done = self.command("status", "--output", "json", check=False)
-        for line in done.stdout.splitlines():
+        """Return the name of the leader, or an empty string if there is none."""
+        completed = self.command("status", "--output", "json", check=False)
+        for line in completed.stdout.splitlines():
             row = json.loads(line)
             if row["role"] == "leader":
                 return row["member"]
         return ""
 
     def journal(self):
-        """Return the idempotency keys of all executions, one for each execution."""
+        """Return the idempotency key of each execution, with duplicates."""
         return [row["key"] for row in self.executions()]
 
     def executions(self):
-        """Return what the targets noted of each execution, as dicts."""
+        """Return the journal entries of all targets, one dict per execution."""
         rows = []
         for path in self.folder.glob("journal-*"):
-            # Without the last line if the target was killed in the middle of it.
+            # A target killed while it writes leaves an incomplete last line: skip it.
             whole = path.read_text().rpartition("\n")[0]
             rows += [json.loads(line) for line in whole.splitlines()]
         return rows
@@ -297,7 +309,7 @@
         return 0.0
 
     def cpu_s(self, name):
-        """Return the processor time of a process so far, in seconds."""
+        """Return the CPU time that a process has used, in seconds."""
         stat = Path(f"/proc/{self.process_by_name[name].pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
--- a/standin/fleet.py
+++ b/standin/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of real processes on loopback, with stand-ins for the users' platform.
+"""Runs a fleet of real processes on loopback, with a simulated user platform.
 
-The platform's side is played here: targets that send heartbeats and hold keys, an
-operator, and callers. Each VM has a loopback address of its own.
+The simulated platform consists of targets that send heartbeats and hold keys, an
+operator, and callers. Each VM has its own loopback address.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class Answer:
-    """What an HTTP call gave; status 0 if there was no answer."""
+    """Response to an HTTP call; status 0 if none was received."""
 
     status: int
     headers: dict = attrs.field(factory=dict)
@@ -56,7 +56,10 @@
 
 
 async def call(host, port, method, path, headers=(), body=b"", timeout_s=3.0):
-    """Make one HTTP call on a connection of its own; return its ``Answer``."""
+    """Make one HTTP call on a new connection; return its ``Answer``.
+
+    Connection errors, a timeout and malformed responses give status 0.
+    """
     try:
         return await asyncio.wait_for(
             _call(host, port, method, path, headers, body), timeout_s
@@ -84,7 +87,7 @@
 
 
 class Target:
-    """A target that announces itself, holds keys as told, and records each run.
+    """A target that sends heartbeats, holds the granted keys and records executions.
 
     Parameters
     ----------
@@ -94,14 +97,14 @@
         ``owned`` or ``shared``.
     """
 
-    _births = itertools.count(1_700_000_000_000)
+    _next_born_ms = itertools.count(1_700_000_000_000)
 
     def __init__(self, host, service, zone="z"):
         self.host = host
         self.service = service
         self.zone = zone
         self.name = f"i-{host}"
-        self.born_ms = next(self._births)
+        self.born_ms = next(self._next_born_ms)
         self.state = "ready"
         self.work_s = 0.01
         self.ran = []
@@ -112,36 +115,36 @@
         self._sequence = 0
         self._released = []
         self._server = None
-        self._beats = None
+        self._heartbeats = None
         self._writers = set()
 
     async def start(self):
-        """Listen and begin to send heartbeats."""
+        """Listen and start sending heartbeats."""
         self._server = await asyncio.start_server(self._serve, self.host, TARGET_PORT)
-        self._beats = asyncio.create_task(self._beat_forever())
+        self._heartbeats = asyncio.create_task(self._send_heartbeats_forever())
 
     async def stop(self):
-        """Crash: no goodbye, and nothing is held any more."""
+        """Simulate a crash: send no goodbye and drop all holds."""
         self.held_by_range = {}
         if self._server is None:
             return
-        self._beats.cancel()
+        self._heartbeats.cancel()
         self._server.close()
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     def holds(self, key):
-        """Whether it may run requests for ``key`` now."""
+        """Whether the target may execute requests for ``key`` now."""
         return time.monotonic() < self._held_until and any(
             first <= key <= last for first, last in self.held_by_range
         )
 
-    async def _beat_forever(self):
+    async def _send_heartbeats_forever(self):
         while True:
-            more = await self._beat()
+            more = await self._send_heartbeat()
             await asyncio.sleep(0.05 if more else HEARTBEAT_S)
 
-    async def _beat(self):
+    async def _send_heartbeat(self):
         self._sequence += 1
         sent = time.monotonic()
         if sent >= self._held_until:
@@ -167,7 +170,10 @@
         return await self._tell("heartbeat", document, sent)
 
     async def _tell(self, what, document, sent):
-        """Send a heartbeat or a goodbye; tell whether another one is due soon."""
+        """Send a heartbeat or a goodbye; return whether another one is due soon.
+
+        ``sent`` is the ``time.monotonic()`` of sending, in seconds.
+        """
         answer = await call(
             self.host,
             PORTS["operators"],
@@ -207,13 +213,13 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         except asyncio.CancelledError:
-            # The run has ended; the library reports a cancelled server task as a fault.
+            # The run has ended; asyncio logs a cancelled server task as an error.
             return
         finally:
             self._writers.discard(writer)
 
     def _begin(self, attempt, key):
-        """Note that a request starts."""
+        """Record that the execution of an attempt starts."""
         self.begun.append(attempt)
 
     async def _answer(self, line, headers, body):
@@ -241,11 +247,14 @@
     Parameters
     ----------
     folder : Path
-        For settings, logs and data.
+        Contains settings, logs and data.
     services : sequence of str
-        One target each.
+        Service of each target.
     net : int
-        Part of the loopback addresses, so that two fleets don't meet.
+        Second octet of the loopback addresses; must differ between fleets that run
+        at the same time.
+    controls : int
+        Number of control VMs.
     """
 
     def __init__(self, folder, services, net, controls=3):
@@ -278,14 +287,14 @@
         return Process("control", host, text, self.folder)
 
     def replace_control(self, number, seed_hosts):
-        """End a control VM for good; start an empty one at another address.
+        """Retire a control VM and start one without data at another address.
 
         Parameters
         ----------
         number : int
-            Of the one that ends; the new one takes its number.
+            Index of the retired control VM; the new one gets the same index.
         seed_hosts : sequence of str
-            Control VMs that the new one is told, besides itself.
+            Addresses of the new control VM's seeds, besides its own.
         """
         self.controls[number].retire()
         host = f"127.{self.net}.1.{next(self._new_control_numbers)}"
@@ -295,7 +304,7 @@
         self.controls[number].start()
 
     def wipe_control(self, control):
-        """Kill a control VM and let it come back with an empty disk."""
+        """Kill a control VM, delete its data and restart it."""
         control.kill()
         shutil.rmtree(self.folder / control.name)
         control.write(
@@ -323,7 +332,13 @@
         return Process("daemon", host, text, self.folder)
 
     async def start(self):
-        """Start all, put the configuration, wait until every target serves."""
+        """Start all processes, configure them and wait until every target serves.
+
+        Raises
+        ------
+        AssertionError
+            If that takes too long; the text describes every process.
+        """
         for process in (*self.controls, *self.daemons):
             process.start()
         for target in self.targets:
@@ -332,11 +347,11 @@
             await self.order("/api/config/replace", CONFIGURATION, "r0")
             await self.until(self._serves, 20.0)
         except AssertionError as error:
-            about = "\n".join(
+            descriptions = "\n".join(
                 each.describe() for each in (*self.controls, *self.daemons)
             )
             load = Path("/proc/loadavg").read_text().strip()
-            raise AssertionError(f"{error}; load {load}\n{about}") from error
+            raise AssertionError(f"{error}; load {load}\n{descriptions}") from error
 
     async def stop(self):
         """Kill all processes that this fleet started."""
@@ -351,14 +366,20 @@
         return all(answer.status == 200 for answer in answers)
 
     async def until(self, condition, timeout_s=10.0):
-        """Wait until an awaitable condition holds; ``AssertionError`` if it doesn't."""
-        end = time.monotonic() + timeout_s
+        """Wait until an async condition holds.
+
+        Raises
+        ------
+        AssertionError
+            If it doesn't hold within ``timeout_s`` seconds.
+        """
+        deadline_s = time.monotonic() + timeout_s
         while not await condition():
-            assert time.monotonic() < end, "did not come in time"
+            assert time.monotonic() < deadline_s, "condition not met in time"
             await asyncio.sleep(0.1)
 
     async def ask(self, prefix, key, at, attempt=None):
-        """Send one caller's request to the daemon number ``at``."""
+        """Send a caller's request to the daemon at index ``at``."""
         attempt = attempt or f"a{next(self._attempts)}"
         headers = [
             ("Host", "h.example"),
@@ -371,19 +392,24 @@
         return await call(host, PORTS["callers"], "POST", f"{prefix}x", headers, b"b")
 
     async def order(self, path, document=None, base=None, timeout_s=20.0):
-        """Send an operator's order to one control VM after the other until it is taken.
+        """Send an operator's request to the control VMs in turn until one accepts it.
 
         Returns
         -------
         Answer
-            The first one that is no 5xx.
+            The first one that isn't 5xx; redirects are followed once.
+
+        Raises
+        ------
+        AssertionError
+            If there is none within ``timeout_s`` seconds.
         """
         headers = [("Host", "x")]
         if base is not None:
             headers.append(("Tamarackhaven-Base-Version", base))
         body = json.dumps(document).encode() if document is not None else b""
         method = "POST" if path != "/api/config/read" else "GET"
-        end = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         for host in itertools.cycle(self.control_hosts):
             answer = await call(host, PORTS["operators"], method, path, headers, body)
             if answer.status == 307:
@@ -393,12 +419,12 @@
                 )
             if answer.status and answer.status not in (307,) and answer.status < 500:
                 return answer
-            assert time.monotonic() < end, "no control VM takes the order"
+            assert time.monotonic() < deadline_s, "no control VM accepted the request"
             await asyncio.sleep(0.1)
         return None
 
     async def leader(self):
-        """Return the number of the control VM that leads."""
+        """Return the index of the leader in ``control_hosts``, or None."""
         for number, host in enumerate(self.control_hosts):
             answer = await call(
                 host, PORTS["operators"], "GET", "/api/config/read", [("Host", "x")]
--- a/standin/load.py
+++ b/standin/load.py
@@ -1,4 +1,4 @@
-"""Callers of the demo and the tests: lookups and bookings, repeated by the rules."""
+"""Simulated callers: lookups, and bookings that are retried as the headers allow."""
 
 import http.client
 import random
@@ -13,20 +13,20 @@
 
 TIMEOUT_S = 5.0
 DEADLINE_MS = 2000
-BOOKING_TRIES = 40
+MAX_BOOKING_ATTEMPTS = 40
 LOOKUP_TRIES = 1
 NOT_CONNECTED = "not connected"
 NO_ANSWER = "no answer"
 ERROR_CODES = {kind.value for kind in ErrorKind}
-PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
+RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 1.0
 
 
 @attrs.frozen
 class Response:
-    """One answer; ``status`` is 0 if there was none.
+    """A daemon's response; ``status`` is 0 if there was none.
 
-    Then ``error`` is "not connected" or "no answer".
+    In that case ``error`` is "not connected" or "no answer".
     """
 
     status: int
@@ -37,7 +37,7 @@
 
 @attrs.define
 class Booking:
-    """One booking of a caller and what became of it."""
+    """A booking and its outcome; ``doubtful`` if an attempt may have been executed."""
 
     key: str
     idempotency_key: str
@@ -48,9 +48,12 @@
 
 
 def ask(port, service, key, method="GET", headers=(), connection=None):
-    """Send one request to a daemon and return the ``Response``."""
-    own = connection is None
-    if own:
+    """Send one request to a daemon and return its ``Response``.
+
+    Connection errors are returned with status 0, not raised.
+    """
+    is_own_connection = connection is None
+    if is_own_connection:
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     try:
         if connection.sock is None:
@@ -72,36 +75,36 @@
         connection.close()
         return Response(0, NO_ANSWER)
     finally:
-        if own:
+        if is_own_connection:
             connection.close()
 
 
 def _retry_after_s(headers):
-    """Return when to come back, in seconds: the exact time where it is told."""
+    """Return the delay before a retry, in seconds; the millisecond header wins."""
     if "Tamarackhaven-Retry-After-Ms" in headers:
         return int(headers["Tamarackhaven-Retry-After-Ms"]) / 1000
     return float(headers.get("Retry-After", 0))
 
 
 class Load:
-    """Callers in threads until ``stop``.
+    """Callers that send requests in threads until ``stop``.
 
     Parameters
     ----------
     ports : callable
-        Returns the daemons' ports for callers to choose from.
+        Returns the caller ports of the daemons; each request uses one at random.
     service : str
-        The service to ask.
+        Service that receives the requests.
     keys : list of str
         Keys to choose from.
     booking_part : float
-        Part of the requests that are bookings, 0 to 1.
+        Fraction of requests that are bookings, 0 to 1.
     callers : int
         Number of threads.
     pause_s : float
         Mean time between two requests of a caller, in seconds.
     seed : int
-        Of the choices.
+        Seed of the random choices.
     """
 
     def __init__(self, ports, service, keys, booking_part, callers, pause_s, seed=1):
@@ -126,9 +129,9 @@
             thread.start()
 
     def stop(self):
-        """Stop them once their present requests have ended.
+        """Stop the callers once their current requests have ended.
 
-        A booking that may have run already is not repeated from now on.
+        From now on, a booking that may already have been executed isn't retried.
         """
         self._stopping.set()
         for thread in self._threads:
@@ -140,7 +143,7 @@
             if rng.random() < self._booking_part:
                 self._book(rng)
             else:
-                self._note(self._send(rng, rng.choice(self._keys)))
+                self._count_response(self._send(rng, rng.choice(self._keys)))
             self._stopping.wait(rng.expovariate(1 / self._pause_s))
 
     def _send(self, rng, key, method="GET", headers=()):
@@ -152,39 +155,39 @@
                 self.latencies_s.append(time.monotonic() - start_s)
         return response
 
-    def _note(self, response):
+    def _count_response(self, response):
         with self._lock:
-            self.answers[_name(response)] += 1
+            self.answers[_response_name(response)] += 1
 
     def _book(self, rng):
         booking = Booking(rng.choice(self._keys), uuid.uuid4().hex, time.time())
         with self._lock:
             self.bookings.append(booking)
-        while booking.tries < BOOKING_TRIES:
+        while booking.tries < MAX_BOOKING_ATTEMPTS:
             booking.tries += 1
             headers = {
                 "Idempotency-Key": booking.idempotency_key,
                 "Tamarackhaven-First-Sent": f"{booking.first_sent_s:.3f}",
             }
             response = self._send(rng, booking.key, "POST", headers)
-            self._note(response)
+            self._count_response(response)
             if 200 <= response.status < 300:
                 booking.acknowledged = True
                 return
             if response.ran != "no":
                 booking.doubtful = True
             elif not booking.doubtful:
-                # No try can have run, so this is a new booking as far as any owner
-                # is concerned, and may say so.
+                # No attempt can have been executed, so owners see this as a new booking
+                # and its first-sent time may be renewed.
                 booking.first_sent_s = time.time()
-            pause_s = min(response.retry_after_s or PAUSE_S, LONGEST_PAUSE_S)
+            pause_s = min(response.retry_after_s or RETRY_DELAY_S, MAX_RETRY_DELAY_S)
             if not booking.doubtful:
                 time.sleep(pause_s)
             elif self._stopping.wait(pause_s):
                 return
 
     def audit(self, executed):
-        """Compare what callers were told with what the targets did.
+        """Compare the responses that callers received with the targets' executions.
 
         Parameters
         ----------
@@ -196,20 +199,29 @@
         Audit
         """
         times_by_key = Counter(executed)
-        told = [b for b in self.bookings if b.acknowledged]
-        open_ = [b for b in self.bookings if not b.acknowledged]
+        acknowledged_bookings = [b for b in self.bookings if b.acknowledged]
+        unresolved = [b for b in self.bookings if not b.acknowledged]
         return Audit(
-            booked=len(told),
-            lost=sum(times_by_key[b.idempotency_key] == 0 for b in told),
+            booked=len(acknowledged_bookings),
+            lost=sum(
+                times_by_key[b.idempotency_key] == 0 for b in acknowledged_bookings
+            ),
             doubled=sum(times > 1 for times in times_by_key.values()),
-            unresolved=len(open_),
-            unresolved_but_run=sum(times_by_key[b.idempotency_key] > 0 for b in open_),
+            unresolved=len(unresolved),
+            unresolved_but_run=sum(
+                times_by_key[b.idempotency_key] > 0 for b in unresolved
+            ),
         )
 
 
 @attrs.frozen
 class Audit:
-    """Bookings told done, of those never run, run twice, and never told done."""
+    """Numbers of bookings by outcome.
+
+    ``booked`` were acknowledged; ``lost`` were acknowledged but never executed;
+    ``doubled`` were executed more than once; ``unresolved`` were never acknowledged,
+    and of these ``unresolved_but_run`` were executed.
+    """
 
     booked: int
     lost: int
@@ -218,19 +230,20 @@
     unresolved_but_run: int
 
 
-def _name(response):
+def _response_name(response):
     if response.error in ERROR_CODES:
         return ErrorKind(response.error).name
     return str(response.status) if response.status else response.error
 
 
 def outage_s(port, service, key, start_s, timeout_s=10.0):
-    """Return the time from ``start_s`` until a key is answered, by asking again.
+    """Return the time from ``start_s`` until a request for ``key`` succeeds.
 
-    ``start_s`` is ``time.monotonic()`` at the loss; times are in seconds.
+    ``start_s`` is ``time.monotonic()`` at the start of the outage. Times are in
+    seconds; the result is ``timeout_s`` if no request succeeds.
     """
-    end = start_s + timeout_s
-    while time.monotonic() < end:
+    deadline_s = start_s + timeout_s
+    while time.monotonic() < deadline_s:
         headers = {"Tamarackhaven-Deadline-Ms": "150"}
         if ask(port, service, key, headers=headers).status == 200:
             return time.monotonic() - start_s
--- a/standin/narrow_link.py
+++ b/standin/narrow_link.py
@@ -1,43 +1,43 @@
-"""The link of a small VM: all that comes to it passes one after another."""
+"""Simulates the inbound link of a small VM, which has a limited bandwidth."""
 
 import asyncio
 import time
 
-# What one connection may have on its way, as the window of a kernel does.
+# Maximum bytes in flight on one connection, like a TCP receive window.
 WINDOW_BYTES = 65_536
 
 
 class NarrowLink:
-    """Carries bytes in the order in which they come, so many a second.
+    """Delays bytes in FIFO order according to a bandwidth.
 
     Parameters
     ----------
     bytes_per_s : float
-        What the link carries.
+        Bandwidth of the link.
     """
 
     def __init__(self, bytes_per_s):
         self._bytes_per_s = bytes_per_s
-        self._free_s = 0.0
+        self._idle_at_s = 0.0
         self.carried_bytes = 0
 
     async def carry(self, count):
-        """Return when ``count`` bytes, behind those before them, have passed."""
+        """Wait until ``count`` bytes, queued after earlier ones, have passed."""
         now = time.monotonic()
-        self._free_s = max(self._free_s, now) + count / self._bytes_per_s
+        self._idle_at_s = max(self._idle_at_s, now) + count / self._bytes_per_s
         self.carried_bytes += count
-        await asyncio.sleep(self._free_s - now)
+        await asyncio.sleep(self._idle_at_s - now)
 
 
 class LinkProxy:
-    """A TCP proxy before a VM whose link is narrow; answers leave freely.
+    """A TCP proxy that limits the bandwidth towards a VM, not the one of responses.
 
     Parameters
     ----------
     link : NarrowLink
-        All connections share it.
+        Shared by all connections.
     to : tuple of (str, int)
-        Where it passes connections on to.
+        Address to which connections are forwarded.
     """
 
     def __init__(self, link, to):
@@ -47,7 +47,7 @@
         self.address = None
 
     async def start(self):
-        """Listen on a free port; ``address`` says which."""
+        """Listen on a free port and set ``address``."""
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", 0, limit=WINDOW_BYTES
         )
@@ -57,8 +57,8 @@
         other_reader, other = await asyncio.open_connection(*self._to)
         try:
             await asyncio.gather(
-                self._pass(reader, other, self._link),
-                self._pass(other_reader, writer, None),
+                self._forward(reader, other, self._link),
+                self._forward(other_reader, writer, None),
             )
         except (OSError, asyncio.CancelledError):
             return
@@ -66,7 +66,7 @@
             for each in (writer, other):
                 each.transport.abort()
 
-    async def _pass(self, reader, writer, link):
+    async def _forward(self, reader, writer, link):
         while data := await reader.read(WINDOW_BYTES):
             if link is not None:
                 await link.carry(len(data))
--- a/standin/process.py
+++ b/standin/process.py
@@ -1,4 +1,4 @@
-"""One program of the system as a real process under its settings file."""
+"""Runs a control VM or a daemon as a real process with its own settings file."""
 
 import json
 import os
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-# Fields of /proc/PID/stat behind the name in brackets: user and system time.
-_USER, _SYSTEM = 11, 12
+# Indexes of user and system time in /proc/PID/stat, after the name in parentheses.
+_USER_TIME, _SYSTEM_TIME = 11, 12
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Process:
-    """One program of the system under its settings file."""
+    """A control VM or a daemon with its settings file and its log."""
 
     def __init__(self, role, name, text, folder):
         self.role = role
@@ -25,11 +25,11 @@
         self._log = folder / f"{name}.log"
         self._process = None
         self._is_retired = False
-        self._stalls = None
+        self._stall_file = None
         self.starts = 0
 
     def start(self):
-        """Start it, unless its VM is gone for good."""
+        """Start the process, unless it was retired."""
         if self._is_retired:
             return
         self.starts += 1
@@ -44,98 +44,108 @@
             )
 
     def _launcher(self):
-        return ("-m", "standin.slow_disk", str(self._stalls)) if self._stalls else ()
+        return (
+            ("-m", "standin.slow_disk", str(self._stall_file))
+            if self._stall_file
+            else ()
+        )
 
     def may_stall(self):
-        """Give it, from its next start on, a disk that can stall."""
-        self._stalls = self._folder / f"{self.name}.stalls"
+        """Allow ``stall`` to block syncs, from the next start on."""
+        self._stall_file = self._folder / f"{self.name}.stalls"
 
     def stall(self):
-        """Let its disk answer nothing."""
-        self._stalls.touch()
+        """Block the syncs of the process."""
+        self._stall_file.touch()
 
     def unstall(self):
-        """Let its disk answer again."""
-        self._stalls.unlink(missing_ok=True)
+        """Let the syncs of the process return again."""
+        self._stall_file.unlink(missing_ok=True)
 
     @property
     def pid(self):
-        """Its process id, 0 before the first start."""
+        """The process id, 0 before the first start."""
         return self._process.pid if self._process is not None else 0
 
     @property
     def processor_s(self):
-        """Processor time that it has used, in seconds; None if it is gone."""
+        """CPU time used, in seconds; None if the process doesn't exist."""
         fields = self._stat()
         if fields is None:
             return None
-        return (int(fields[_USER]) + int(fields[_SYSTEM])) / _TICKS_PER_S
+        return (int(fields[_USER_TIME]) + int(fields[_SYSTEM_TIME])) / _TICKS_PER_S
 
     def _stat(self):
-        """Return the fields of its /proc/PID/stat behind the name in brackets."""
+        """Return the fields of /proc/PID/stat after the name, or None."""
         try:
             return Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
         except OSError:
             return None
 
     def describe(self):
-        """Return what it does at this moment, as text."""
+        """Return the name, log length, process state and CPU time as text."""
         fields = self._stat()
         state = fields[0] if fields else "gone"
         return (
             f"{self.name}: {len(self.lines)} lines, state {state},"
-            f" {self.processor_s} s of processor time"
+            f" {self.processor_s} s of CPU time"
         )
 
     def takes(self, number):
-        """Whether it ignores or handles a signal by now, so that it doesn't end it."""
+        """Whether the process ignores or handles a signal, so that it survives it."""
         path = Path(f"/proc/{self._process.pid}/status")
         fields = dict(line.split(":", 1) for line in path.read_text().splitlines())
-        taken = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
-        return bool(taken >> (number - 1) & 1)
+        not_fatal = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
+        return bool(not_fatal >> (number - 1) & 1)
 
     def wait(self, timeout_s):
-        """Return its exit code once it has ended."""
+        """Wait for the process and return its exit code.
+
+        Raises
+        ------
+        subprocess.TimeoutExpired
+            If it still runs after ``timeout_s`` seconds.
+        """
         return self._process.wait(timeout_s)
 
     @property
     def has_ended(self):
-        """Whether it runs no more."""
+        """Whether the process has exited."""
         return self._process.poll() is not None
 
     @property
     def settings(self):
-        """The text of its settings file."""
+        """The content of the settings file."""
         return self._path.read_text()
 
     def write(self, text):
-        """Replace its settings file."""
+        """Replace the content of the settings file."""
         self._path.write_text(text)
 
     def send(self, number):
-        """Send a signal to it."""
+        """Send a signal to the process."""
         self._process.send_signal(number)
 
     def kill(self):
-        """End it at once and wait for that."""
+        """Kill the process and wait until it has exited."""
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
         if self._process is not None:
             self._process.wait()
 
     def retire(self):
-        """End it at once and for good."""
+        """Kill the process; later calls of ``start`` do nothing."""
         self._is_retired = True
         self.kill()
 
     def terminate(self, timeout_s=10.0):
-        """Stop it in order; return its exit code."""
+        """Send SIGTERM and return the exit code."""
         self.send(signal.SIGTERM)
         return self.wait(timeout_s)
 
     @property
     def lines(self):
-        """What it has logged, one dict a line; lines that are no JSON as text."""
+        """The log as one dict per line; a line that isn't JSON is under "text"."""
         return [
             json.loads(line) if line.startswith("{") else {"text": line}
             for line in self._log.read_text().splitlines()
--- a/standin/simulated_link.py
+++ b/standin/simulated_link.py
@@ -1,4 +1,4 @@
-"""A VM's link in simulated time: parts that are asked for come one behind another."""
+"""Simulates a VM's link on a virtual clock: requested parts arrive in FIFO order."""
 
 import heapq
 import itertools
@@ -10,31 +10,31 @@
 
 @attrs.frozen
 class Patience:
-    """A gate whose requests all work for the same time, in seconds."""
+    """A gate whose requests all take the same execution time, in seconds."""
 
     work_s: float = 0.0
 
     def latest_start_s(self, offer):
-        """Return until when a request must start to be in time."""
+        """Return the latest start that meets the objective, in seconds."""
         return offer.objective_s - self.work_s
 
     def longest_wait_s(self, offer, now):
-        """Return how long a request may wait for its start."""
+        """Return how long a request may wait for its start, in seconds."""
         return self.latest_start_s(offer) - now
 
 
 @attrs.define
 class SimulatedLink:
-    """The bodies on their way to one VM, and the link that carries them.
+    """A link with limited bandwidth and the bodies in flight to its VM.
 
     Parameters
     ----------
     bytes_per_s : float
-        What the link carries.
+        Bandwidth of the link.
     way_s : float
-        From the question for a part to its first byte.
+        Time from the request for a part to its first byte, on an idle link.
     arrivals : Arrivals
-        Under test.
+        Object under test.
     """
 
     bytes_per_s: float
@@ -44,33 +44,33 @@
     came_bytes: int = 0
     longest_queue_s: float = 0.0
     whole_s_by_key: dict = attrs.field(factory=dict)
-    _free_s: float = 0.0
-    _on_way: list = attrs.field(factory=list)
+    _idle_at_s: float = 0.0
+    _in_flight: list = attrs.field(factory=list)
     _order: object = attrs.field(factory=itertools.count)
 
     @property
     def queue_s(self):
-        """How long a short message that is sent now stands behind parts."""
-        return max(self._free_s - self.now - self.way_s, 0.0)
+        """Queueing delay behind parts of a short message sent now, in seconds."""
+        return max(self._idle_at_s - self.now - self.way_s, 0.0)
 
-    def _ask(self):
+    def _request_parts(self):
         for part in self.arrivals.asks(self.now):
-            begins_s = max(self._free_s, self.now + self.way_s)
-            self.longest_queue_s = max(self.longest_queue_s, begins_s - self.now)
-            self._free_s = begins_s + part.count / self.bytes_per_s
-            heapq.heappush(self._on_way, (self._free_s, next(self._order), part))
+            starts_s = max(self._idle_at_s, self.now + self.way_s)
+            self.longest_queue_s = max(self.longest_queue_s, starts_s - self.now)
+            self._idle_at_s = starts_s + part.count / self.bytes_per_s
+            heapq.heappush(self._in_flight, (self._idle_at_s, next(self._order), part))
 
     def run(self, until_s):
-        """Let parts come until a time."""
-        self._ask()
-        while self._on_way and self._on_way[0][0] <= until_s:
-            self.now, _, part = heapq.heappop(self._on_way)
-            self._take(part)
-            self._ask()
+        """Advance the clock to ``until_s`` and deliver the parts due by then."""
+        self._request_parts()
+        while self._in_flight and self._in_flight[0][0] <= until_s:
+            self.now, _, part = heapq.heappop(self._in_flight)
+            self._deliver(part)
+            self._request_parts()
         self.now = until_s
 
-    def _take(self, part):
-        # What is on its way of a body that was given up comes all the same.
+    def _deliver(self, part):
+        # Parts in flight still arrive after their body was dropped.
         is_wanted = self.arrivals.left_of(part.key) > 0
         came = self.arrivals.came(part.key, part.offset, part.count, self.now)
         assert came is is_wanted
--- a/standin/slow_disk.py
+++ b/standin/slow_disk.py
@@ -1,7 +1,7 @@
-"""Runs a program whose syncs stall: ``python -m standin.slow_disk FILE PROGRAM ...``.
+"""Runs a program whose syncs can stall.
 
-As long as FILE exists, no sync returns, as on a disk that answers nothing. All else of
-the program goes on.
+Usage: ``python -m standin.slow_disk FILE PROGRAM ...``. While FILE exists, fsync and
+fdatasync block, as on a disk that doesn't respond; the rest of the program continues.
 """
 
 import functools
@@ -11,26 +11,26 @@
 import time
 from pathlib import Path
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
-def stalling(sync, stalls):
-    """Return ``sync`` such that it waits while ``stalls`` exists."""
+def blocked_by_file(sync, stall_file):
+    """Wrap ``sync`` so that it blocks while the file ``stall_file`` exists."""
 
     @functools.wraps(sync)
-    def synced(descriptor):
-        while stalls.exists():
-            time.sleep(LOOK_S)
+    def blocking_sync(descriptor):
+        while stall_file.exists():
+            time.sleep(POLL_INTERVAL_S)
         return sync(descriptor)
 
-    return synced
+    return blocking_sync
 
 
 def main():
-    """Run the program."""
-    stalls = Path(sys.argv[1])
+    """Run the program with blocking versions of fsync and fdatasync."""
+    stall_file = Path(sys.argv[1])
     for name in ("fsync", "fdatasync"):
-        setattr(os, name, stalling(getattr(os, name), stalls))
+        setattr(os, name, blocked_by_file(getattr(os, name), stall_file))
     sys.argv = sys.argv[2:]
     runpy.run_path(sys.argv[0], run_name="__main__")
 
--- a/standin/target.py
+++ b/standin/target.py
@@ -1,7 +1,8 @@
-"""A stand-in target: a small HTTP server that behaves, or misbehaves, as real ones do.
+"""A simulated target: an HTTP server that can also fail in the ways of real ones.
 
-It announces itself and reports to its daemon, takes fenced grants, starts cold, sheds,
-drains, and honours deadlines and cancellation. It is no part of the product.
+It announces itself and reports to its daemon, checks the epochs of grants, starts cold,
+sheds load, drains, and honours deadlines and cancellation. Used only by the demo, the
+tests and the benches.
 """
 
 import argparse
@@ -19,10 +20,10 @@
 import attrs
 import waitress
 
-REPORT_S = 0.2
+REPORT_INTERVAL_S = 0.2
 _RECEIVE_BYTES = 8192
-_STALL_S = 30.0
-_STEP_S = 0.005
+_STALL_DURATION_S = 30.0
+_POLL_INTERVAL_S = 0.005
 DID_NOT_RUN = ("Tamarackhaven-Did-Not-Run", "1")
 
 
@@ -40,24 +41,27 @@
 
 @attrs.frozen
 class StandinSettings:
-    """What a stand-in target is told at its start.
+    """Settings of a simulated target.
 
     Parameters
     ----------
     port : int
-        Where it listens; 0 takes a free one.
+        TCP port to listen on; 0 selects a free one.
     announce : str
         ``host:port`` of its daemon's port for targets, or empty.
     slots : int
-        Requests that it runs at once when warm; it sheds above that.
+        Maximum concurrent requests; further ones are shed.
     cold_slots : int
-        Requests that it bears when just started; above that it is slow and fails.
+        Concurrent requests that it can handle just after its start; above that,
+        requests are slow and fail. Rises linearly to ``slots``.
     cold_s : float
-        Time from cold to warm, in seconds.
+        Time from cold to warm_fraction, in seconds.
     service_ms : float
-        Time that one request takes, in milliseconds.
+        Execution time of a request, in milliseconds.
+    mode : Mode
+        How it answers.
     journal : str
-        File that gets one line per execution of a booking, or empty.
+        File to which each execution of a booking appends a line, or empty.
     """
 
     port: int = 0
@@ -74,7 +78,7 @@
 
 @attrs.frozen
 class Reply:
-    """An HTTP answer."""
+    """An HTTP response; ``plain`` is its JSON body as Python objects."""
 
     status: int
     plain: object
@@ -82,12 +86,12 @@
 
 
 def boot_ms():
-    """Return milliseconds of CLOCK_BOOTTIME, as in the daemon's headers."""
+    """Return CLOCK_BOOTTIME in milliseconds, the clock of the daemon's headers."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 class Target:
-    """The state of a stand-in target; its methods may be called from any thread."""
+    """The state of a simulated target; thread-safe."""
 
     def __init__(self, settings):
         self.settings = settings
@@ -122,7 +126,7 @@
                 self._running_by_id.pop(headers.get("request-id", ""), None)
 
     def _begin(self, headers):
-        """Take the request in, or return why it is not run."""
+        """Register the request, or return the reply that refuses it."""
         with self._lock:
             reason = self._refusal(headers)
             if reason:
@@ -153,8 +157,8 @@
 
     def _run(self, method, path, headers, body):
         cancelled = self._running_by_id[headers.get("request-id", "")]
-        if self._overrun():
-            # Falls over: slow, then an error, and the work may have been done.
+        if self._is_overloaded():
+            # Overload: a slow error response; the request may have been executed.
             self._work(cancelled, headers, slowness=20)
             return Reply(500, {"error": "overrun"})
         if not self._work(cancelled, headers, slowness=1):
@@ -165,26 +169,26 @@
             return Reply(200, {"target": self.settings.name, "path": path})
         return self._book(path, headers)
 
-    def _overrun(self):
+    def _is_overloaded(self):
         age_s = time.monotonic() - self._started_s
         if age_s >= self.settings.cold_s:
             return False
         with self._lock:
-            warm = age_s / self.settings.cold_s
+            warm_fraction = age_s / self.settings.cold_s
             spare = self.settings.slots - self.settings.cold_slots
-            borne = self.settings.cold_slots + int(warm * spare)
-            over = len(self._running_by_id) > borne
-            self.overruns += over
-        return over
+            capacity = self.settings.cold_slots + int(warm_fraction * spare)
+            is_over = len(self._running_by_id) > capacity
+            self.overruns += is_over
+        return is_over
 
     def _work(self, cancelled, headers, slowness):
-        """Take the time of one request; return False if it was given up before."""
+        """Simulate the execution; return False if cancelled or past its deadline."""
         until_s = time.monotonic() + self.settings.service_ms * slowness / 1000
         deadline_ms = math.inf
         if self.honours_deadlines:
             deadline_ms = float(headers.get("deadline", "inf"))
         while (left_s := until_s - time.monotonic()) > 0:
-            if cancelled.wait(min(left_s, _STEP_S)) or boot_ms() > deadline_ms:
+            if cancelled.wait(min(left_s, _POLL_INTERVAL_S)) or boot_ms() > deadline_ms:
                 return False
         return True
 
@@ -226,7 +230,7 @@
             }
 
     def report(self):
-        """Return what it says of itself to its daemon."""
+        """Return the load report for the daemon."""
         with self._lock:
             return {
                 "running": len(self._running_by_id),
@@ -241,7 +245,7 @@
     """Return the WSGI application of a target."""
 
     def app(environ, start_response):
-        headers = _short_names(environ)
+        headers = _request_headers(environ)
         length = int(environ.get("CONTENT_LENGTH") or 0)
         body = environ["wsgi.input"].read(length)
         path = environ["REQUEST_URI"].partition("?")[0]
@@ -251,7 +255,7 @@
     return app
 
 
-def _short_names(environ):
+def _request_headers(environ):
     prefix = "HTTP_TAMARACKHAVEN_"
     headers = {
         name.removeprefix(prefix).replace("_", "-").lower(): value
@@ -274,7 +278,7 @@
     if mode is Mode.SHORT:
         length += 100
     if mode in (Mode.STALLED, Mode.LATE):
-        time.sleep(_STALL_S if mode is Mode.STALLED else 0.6)
+        time.sleep(_STALL_DURATION_S if mode is Mode.STALLED else 0.6)
     lines = [
         ("Content-Type", "application/json"),
         ("Tamarackhaven-Request-Id", request_id),
@@ -283,27 +287,27 @@
     ]
     start_response(f"{reply.status} {http.client.responses[reply.status]}", lines)
     if mode is Mode.DRIP:
-        return _dripping(body)
+        return _drip_bytes(body)
     return [body]
 
 
-def _dripping(body):
+def _drip_bytes(body):
     for byte in body:
         time.sleep(0.1)
         yield bytes([byte])
 
 
 class Announcer:
-    """Tells the daemon of the target's start, its load and its leaving.
+    """Notifies the daemon of the target's start, its load and its shutdown.
 
     Parameters
     ----------
     target : Target
-        Whose word it is.
+        Target to report on.
     address : str
         ``host:port`` of the daemon's port for targets.
     port : int
-        Where the target listens.
+        TCP port on which the target listens.
     """
 
     def __init__(self, target, address, port):
@@ -317,35 +321,37 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self):
-        """Announce, then report from time to time."""
+        """Announce the target, then send a report at each interval."""
         self._thread.start()
 
     def leave(self):
-        """Say that the target is leaving."""
+        """Notify the daemon that the target is shutting down."""
         self._post(self._connect(), "/leaving", {})
 
     def stop(self):
-        """End the reports."""
+        """Stop sending reports."""
         self._ended.set()
         self._thread.join()
 
     def _run(self):
         while not self._ended.is_set():
-            self._turn()
-            self._ended.wait(REPORT_S)
+            self._announce_or_report()
+            self._ended.wait(REPORT_INTERVAL_S)
 
-    def _turn(self):
+    def _announce_or_report(self):
         announcement = self._announcement()
         if self._connection is None:
-            # A broken connection may mean another daemon process, which knows nothing.
+            # The daemon may have restarted without its state: announce again.
             self._connection = self._connect()
             self._announced = None
         if announcement != self._announced:
-            is_heard = self._post(self._connection, "/announce", announcement)
+            is_connected = self._post(self._connection, "/announce", announcement)
             self._announced = announcement
         else:
-            is_heard = self._post(self._connection, "/report", self._target.report())
-        if not is_heard:
+            is_connected = self._post(
+                self._connection, "/report", self._target.report()
+            )
+        if not is_connected:
             self._connection.close()
             self._connection = None
 
@@ -360,7 +366,7 @@
         }
 
     def _post(self, connection, path, plain):
-        """Send to the daemon; return whether it answered and keeps the connection."""
+        """Post JSON; return whether the daemon responded and kept the connection."""
         try:
             connection.request("POST", path, json.dumps(plain).encode())
             connection.getresponse().read()
@@ -370,7 +376,7 @@
 
 
 class Server:
-    """A target with its HTTP server, in threads of this process."""
+    """A target and its HTTP server, run in threads of this process."""
 
     def __init__(self, settings):
         self.target = Target(settings)
@@ -390,13 +396,13 @@
         self._thread = threading.Thread(target=self._server.run, daemon=True)
 
     def start(self):
-        """Serve and announce from now on."""
+        """Start serving requests and announcing the target."""
         self._thread.start()
         if self.announcer:
             self.announcer.start()
 
     def stop(self):
-        """Take no more connections."""
+        """Stop the announcer and the server, and close all connections."""
         if self.announcer:
             self.announcer.stop()
         self._server.asyncore.close_all(self._server._map)
@@ -405,7 +411,7 @@
 
 
 def parse(arguments):
-    """Return the settings that a command line states."""
+    """Parse command-line arguments into ``StandinSettings``."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     for field in attrs.fields(StandinSettings):
         option = "--" + field.name.replace("_", "-")
@@ -415,18 +421,18 @@
 
 
 def main(arguments=None):
-    """Run a target until SIGTERM; then leave, and end what is running."""
+    """Run a target until SIGTERM or SIGINT, then drain it and stop."""
     server = Server(parse(arguments))
-    ended = threading.Event()
-    signal.signal(signal.SIGTERM, lambda number, frame: ended.set())
-    signal.signal(signal.SIGINT, lambda number, frame: ended.set())
+    stopped = threading.Event()
+    signal.signal(signal.SIGTERM, lambda number, frame: stopped.set())
+    signal.signal(signal.SIGINT, lambda number, frame: stopped.set())
     server.start()
     print(f"listening on 127.0.0.1:{server.port}", flush=True)
-    ended.wait()
+    stopped.wait()
     if server.announcer:
         server.announcer.leave()
     while server.target.report()["running"]:
-        time.sleep(_STEP_S)
+        time.sleep(_POLL_INTERVAL_S)
     server.stop()
 
 
