--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real programs, with faults brought in from outside."""
+"""A randomised soak test: injects faults into a fleet of real processes."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays runs of the soak: ``python -m soak --seeds 50 --jobs 4``."""
+"""Executes runs of the soak test: ``python -m soak --seeds 50 --jobs 4``."""
 
 import asyncio
 import concurrent.futures
@@ -14,12 +14,12 @@
 import attrs
 import defopt
 
-from soak._busy import LOOK_S, BusyWatch
+from soak._busy import CHECK_INTERVAL_S, BusyWatch
 from soak._faults import (
-    bring,
-    draw,
-    draw_for_control,
-    draw_for_links,
+    draw_control_faults,
+    draw_faults,
+    draw_link_faults,
+    inject,
     lose_power,
 )
 from soak._fleet import SoakFleet
@@ -27,139 +27,155 @@
 from standin.fleet import PORTS
 
 REGRESSIONS = Path(__file__).with_name("regressions.toml")
-CALLERS = 24
-STALL_STEP_S = 0.05
-CANCEL_AGAIN_S = 1.0
-# Loopback networks of runs; tests use lower ones. Soaks side by side, one by hand and
-# one in tests, take theirs by their process's id, so that they rarely meet.
+CALLER_COUNT = 24
+STALL_CHECK_INTERVAL_S = 0.05
+CANCEL_RETRY_INTERVAL_S = 1.0
+# Loopback networks of runs; other tests use lower ones. Each soak process picks a block
+# of networks by its process id, so that concurrent soaks rarely collide.
 FIRST_NET = 100
-NETS = 16
-NET_BLOCKS = 9
-MOST_JOBS = NETS // 2
+NETS_PER_BLOCK = 16
+NET_BLOCK_COUNT = 9
+MAX_JOBS = NETS_PER_BLOCK // 2
 
 
 @attrs.frozen
 class Outcome:
-    """What one run showed."""
+    """The result of one run: the violations found and a summary as JSON."""
 
     seed: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
     summary: str
 
 
 def _faults(seed, seconds):
-    """Return the faults of a run; those of regressions are as they were."""
+    """Return the faults of a run in order of time.
+
+    Seeds in regressions.toml get only the faults of ``draw_faults``, with which they
+    once failed.
+    """
     if seed in regression_seeds():
-        return draw(seed, seconds)
+        return draw_faults(seed, seconds)
     faults = [
-        *draw(seed, seconds),
-        *draw_for_control(seed, seconds),
-        *draw_for_links(seed, seconds),
+        *draw_faults(seed, seconds),
+        *draw_control_faults(seed, seconds),
+        *draw_link_faults(seed, seconds),
     ]
     return sorted(faults, key=lambda fault: fault.at_s)
 
 
 async def _play(seed, seconds, folder, net):
     fleet = SoakFleet(folder, net)
-    watching = [
-        asyncio.create_task(_note_stalls(fleet.records)),
-        asyncio.create_task(_note_busy(fleet)),
+    monitors = [
+        asyncio.create_task(_measure_stalls(fleet.records)),
+        asyncio.create_task(_check_busy_processes(fleet)),
     ]
-    callers = [Caller(fleet, number, seed) for number in range(CALLERS)]
+    callers = [Caller(fleet, number, seed) for number in range(CALLER_COUNT)]
     operator = Operator(fleet, seed)
     try:
         await fleet.start()
         tasks = [asyncio.create_task(each.run()) for each in (*callers, operator)]
-        await _bring_all(fleet, _faults(seed, seconds))
+        await _inject_all(fleet, _faults(seed, seconds))
         if seed not in regression_seeds():
-            await fleet.check_whole()
+            await fleet.check_recovered()
             await lose_power(seed, fleet)
         await end(tasks)
-        await fleet.check_whole()
-        await _check_read(fleet, operator)
-        await fleet.settle()
+        await fleet.check_recovered()
+        await _check_config_readable(fleet, operator)
+        await fleet.wait_for_targets()
         fleet.records.check_end()
     finally:
-        for task in watching:
+        for task in monitors:
             task.cancel()
         await fleet.stop()
-    return Outcome(seed, tuple(fleet.records.broken), describe(fleet.records))
+    return Outcome(seed, tuple(fleet.records.violations), describe(fleet.records))
 
 
 async def end(tasks):
-    """Cancel tasks until all have ended.
+    """Cancel tasks repeatedly until all have ended.
 
-    The library's ``wait_for`` takes a cancellation for itself if what it waits for is
-    done at that moment; the task goes on as if nothing had happened.
+    ``asyncio.wait_for`` swallows a cancellation if the awaited object completes at the
+    same moment; the task then continues.
     """
     while tasks:
         for task in tasks:
             task.cancel()
-        _, tasks = await asyncio.wait(tasks, timeout=CANCEL_AGAIN_S)
+        _, tasks = await asyncio.wait(tasks, timeout=CANCEL_RETRY_INTERVAL_S)
 
 
-async def _note_stalls(records):
-    """Measure how long this run's own event loop stands still.
+async def _measure_stalls(records):
+    """Measure stalls of this run's event loop.
 
-    All proxies, targets and callers of a run share the loop: while it stands, every
-    link of the fleet is silent and every answer is seen late.
+    All proxies, targets and callers of a run share the loop: while it is stalled, no
+    link of the fleet carries bytes and every response is received late.
     """
     while True:
-        due_s = records.next_look_s = time.monotonic() + STALL_STEP_S
-        await asyncio.sleep(STALL_STEP_S)
+        due_s = records.next_loop_check_s = time.monotonic() + STALL_CHECK_INTERVAL_S
+        await asyncio.sleep(STALL_CHECK_INTERVAL_S)
         records.stalls.append((due_s, time.monotonic()))
 
 
-async def _note_busy(fleet):
-    """Look out for processes that use a whole core."""
-    watch = BusyWatch(lambda: [*fleet.controls, *fleet.daemons], fleet.records)
+async def _check_busy_processes(fleet):
+    """Check the fleet for processes that use a whole core."""
+    busy_watch = BusyWatch(lambda: [*fleet.controls, *fleet.daemons], fleet.records)
     while True:
-        watch.look()
-        await asyncio.sleep(LOOK_S)
+        busy_watch.check()
+        await asyncio.sleep(CHECK_INTERVAL_S)
 
 
-async def _bring_all(fleet, faults):
-    """Bring all faults about at their times, side by side."""
+async def _inject_all(fleet, faults):
+    """Inject all faults concurrently, each at its time."""
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     tasks = []
     for fault in faults:
         await asyncio.sleep(max(started_s + fault.at_s - loop.time(), 0))
-        tasks.append(asyncio.create_task(bring(fault, fleet)))
+        tasks.append(asyncio.create_task(inject(fault, fleet)))
     await asyncio.gather(*tasks)
 
 
-async def _check_read(fleet, operator):
+async def _check_config_readable(fleet, operator):
     versions = [await operator.read(host) for host in fleet.control_hosts]
     if not any(versions):
-        fleet.records.breaks("never reverts", "no control VM reads it back")
+        fleet.records.report_violation(
+            "never reverts", "no control VM returned the configuration"
+        )
 
 
 def play(seed, seconds, net, folder=None):
-    """Play one run in this process; return its ``Outcome``."""
-    with tempfile.TemporaryDirectory() as made:
+    """Execute one run in this process; return its ``Outcome``.
+
+    An exception of the run becomes a violation.
+    """
+    with tempfile.TemporaryDirectory() as temporary_folder:
         try:
-            return asyncio.run(_play(seed, seconds, Path(folder or made), net))
+            return asyncio.run(
+                _play(seed, seconds, Path(folder or temporary_folder), net)
+            )
         except Exception as error:
-            # The others go on, and all are reported.
+            # The other runs continue, and the results of all are reported.
             return Outcome(seed, (f"the run itself: {error!r}",), "")
 
 
 def _free_nets(block):
-    """Return the first net of a block that nobody listens in, from ``block`` on.
+    """Return the first net of a block without listening processes, from ``block`` on.
+
+    Processes of a soak that was killed keep running and listening; a later run in the
+    same net would fail at its start. Blocks with a net in use are therefore skipped.
 
-    Failure: a soak is killed, and its processes go on. Symptom: each later run in their
-    nets fails at its start. Enough: a net in use is left alone.
+    Raises
+    ------
+    SystemExit
+        If every block has a net in use.
     """
-    for step in range(NET_BLOCKS):
-        first = FIRST_NET + (block + step) % NET_BLOCKS * NETS
-        if not any(is_in_use(net) for net in range(first, first + NETS)):
+    for step in range(NET_BLOCK_COUNT):
+        first = FIRST_NET + (block + step) % NET_BLOCK_COUNT * NETS_PER_BLOCK
+        if not any(is_in_use(net) for net in range(first, first + NETS_PER_BLOCK)):
             return first
     raise SystemExit("all loopback networks of the soak are in use")
 
 
 def is_in_use(net):
-    """Whether a process of a fleet listens in a net."""
+    """Whether a process of a fleet listens in the loopback network 127.``net``."""
     addresses = [(f"127.{net}.1.{n}", PORTS["operators"]) for n in range(1, 9)]
     addresses += [(f"127.{net}.2.{n}", PORTS["callers"]) for n in range(1, 9)]
     return any(_is_taken(address) for address in addresses)
@@ -176,7 +192,7 @@
 
 
 def regression_seeds():
-    """Return the seeds that once failed."""
+    """Return the seeds of regressions.toml, whose runs once failed."""
     return [each["seed"] for each in tomllib.loads(REGRESSIONS.read_text())["run"]]
 
 
@@ -189,32 +205,32 @@
     keep: str = "",
     regressions: bool = False,
 ) -> int:
-    """Play runs of the soak and print what they break.
+    """Execute runs of the soak test and print the violations found.
 
     Parameters
     ----------
     seeds
         Number of runs.
     first
-        First seed; a fresh one is drawn if it is below 0.
+        First seed; a random one if below 0.
     seconds
-        Length of the faults in each run.
+        Time during which faults are injected in each run.
     jobs
-        Runs side by side.
+        Number of concurrent runs.
     keep
-        Folder for the logs of the processes; none are kept if it is empty.
+        Folder for the logs of the processes; empty to keep none.
     regressions
-        Play the seeds that once failed before the others.
+        Execute the seeds of regressions.toml first.
     """
     first = secrets.randbelow(1 << 31) if first < 0 else first
     chosen = [
         *(regression_seeds() if regressions else ()),
         *range(first, first + seeds),
     ]
-    jobs = min(jobs, MOST_JOBS)
-    first_net = _free_nets(os.getpid() % NET_BLOCKS)
+    jobs = min(jobs, MAX_JOBS)
+    first_net = _free_nets(os.getpid() % NET_BLOCK_COUNT)
     failed = 0
-    # Each run has an event loop of its own; its waits are those of its processes.
+    # Each run has its own event loop and mostly waits for its processes.
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
         runs = []
         for number, seed in enumerate(chosen):
@@ -222,14 +238,14 @@
             if keep:
                 folder = Path(keep) / str(seed)
                 folder.mkdir(parents=True)
-            # A net is used again only after the runs before it have ended.
-            net = first_net + number % NETS
+            # With twice as many nets as jobs, a net is reused only after its last run.
+            net = first_net + number % NETS_PER_BLOCK
             runs.append(pool.submit(play, seed, seconds, net, folder))
         for run in concurrent.futures.as_completed(runs):
             outcome = run.result()
-            failed += bool(outcome.broken)
+            failed += bool(outcome.violations)
             print(f"seed {outcome.seed}: {outcome.summary}", flush=True)
-            for line in outcome.broken[:10]:
+            for line in outcome.violations[:10]:
                 print(f"  BROKEN {line}", flush=True)
     print(f"{len(chosen) - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,4 +1,4 @@
-"""The faults of one run, drawn from its seed, and how each is brought about."""
+"""Faults of a run: their random choice from its seed, and their injection."""
 
 import asyncio
 import contextlib
@@ -8,170 +8,178 @@
 
 import attrs
 
-from soak._proxy import Way
+from soak._proxy import Direction
 from standin.narrow_link import NarrowLink
 
-# A run of faults, and the time between two of them: they overlap on purpose.
-MOST_PAUSE_S = 1.2
-LONGEST_S = 3.0
-NARROW_FAULTS = 4
-NARROW_BYTES_PER_S = 400_000.0
-# A run ends without power right after a change was accepted, or after this time.
-ACCEPTED_WITHIN_S = 5.0
+# Faults may last longer than the interval between them, so that they overlap.
+MAX_INTERVAL_S = 1.2
+MAX_DURATION_S = 3.0
+BANDWIDTH_FAULT_COUNT = 4
+LIMITED_BYTES_PER_S = 400_000.0
+# The power loss that ends a run comes right after a change was accepted, or after this
+# time if none is.
+ACCEPTED_TIMEOUT_S = 5.0
 
 
 @attrs.frozen
 class Fault:
-    """One fault; ``where`` picks the process, target or proxy it meets."""
+    """A fault; ``selector`` modulo their number selects the affected part.
+
+    ``at_s`` is the time since the start of the run and ``duration_s`` the duration, in
+    seconds.
+    """
 
     at_s: float
-    where: int
-    for_s: float
+    selector: int
+    duration_s: float
 
 
 class Kill(Fault):
-    """A process is killed and started again."""
+    """Kills a process and restarts it."""
 
 
-class Pause(Fault):
-    """A process stands still."""
+class Suspend(Fault):
+    """Suspends a process by SIGSTOP."""
 
 
-class Restart(Fault):
-    """A daemon is stopped in order and started again."""
+class RestartDaemon(Fault):
+    """Stops a daemon by SIGTERM and restarts it."""
 
 
-class Reload(Fault):
-    """A daemon is told to read its settings again."""
+class ReloadSettings(Fault):
+    """Makes a daemon reload its settings by SIGHUP."""
 
 
-class Wipe(Fault):
-    """A control VM loses its disk and comes back."""
+class WipeDisk(Fault):
+    """Restarts a control VM with an empty disk."""
 
 
-class Replace(Fault):
-    """A control VM is gone for good; an empty one starts at another address."""
+class ReplaceControl(Fault):
+    """Replaces a control VM by one without data at another address."""
 
 
-class Torn(Fault):
-    """A control VM is killed within a write: half a record stands behind its log."""
+class TornWrite(Fault):
+    """Kills a control VM during a write, which leaves a partial record in its log."""
 
 
-class Stall(Fault):
-    """A control VM's disk answers nothing."""
+class StallDisk(Fault):
+    """Blocks the disk syncs of a control VM."""
 
 
-class Depose(Fault):
-    """The leading control VM stands still until another one leads."""
+class SuspendLeader(Fault):
+    """Suspends the leader, so that another control VM is elected."""
 
 
-class KillAllControl(Fault):
-    """All control VMs are killed at once and start again."""
+class KillAllControls(Fault):
+    """Kills all control VMs at once and restarts them."""
 
 
-class Slow(Fault):
-    """Bytes to one place are delayed."""
+class Delay(Fault):
+    """Delays the bytes of one proxy."""
 
 
-class Reset(Fault):
-    """All connections to one place are reset."""
+class ResetConnections(Fault):
+    """Resets all connections of one proxy."""
 
 
-class Narrow(Fault):
-    """The link to one place carries little."""
+class LimitBandwidth(Fault):
+    """Limits the bandwidth of one proxy."""
 
 
-class Silence(Fault):
-    """Connections to one place carry nothing, without a reset."""
+class DropAllBytes(Fault):
+    """Drops all bytes of one proxy without resetting its connections."""
 
 
-class SilenceBack(Fault):
-    """Answers from one place are lost, requests arrive."""
+class DropResponses(Fault):
+    """Drops the responses through one proxy; requests still arrive."""
 
 
-class Crash(Fault):
-    """A target crashes; a new life starts at its place."""
+class CrashTarget(Fault):
+    """Crashes a target and starts a new one on its VM."""
 
 
-class Leave(Fault):
-    """A target drains, ends, and a new life starts at its place."""
+class DrainTarget(Fault):
+    """Drains a target, stops it and starts a new one on its VM."""
 
 
-class ZoneOut(Fault):
-    """An availability zone is taken out and in again."""
+class EvacuateZone(Fault):
+    """Evacuates an availability zone and returns it to service."""
 
 
 _WEIGHT_BY_KIND = {
     Kill: 4,
-    Pause: 3,
-    Restart: 3,
-    Reload: 1,
-    Wipe: 1,
-    Torn: 1,
-    KillAllControl: 1,
-    Slow: 2,
-    Reset: 3,
-    Silence: 2,
-    SilenceBack: 2,
-    Crash: 3,
-    Leave: 2,
-    ZoneOut: 1,
+    Suspend: 3,
+    RestartDaemon: 3,
+    ReloadSettings: 1,
+    WipeDisk: 1,
+    TornWrite: 1,
+    KillAllControls: 1,
+    Delay: 2,
+    ResetConnections: 3,
+    DropAllBytes: 2,
+    DropResponses: 2,
+    CrashTarget: 3,
+    DrainTarget: 2,
+    EvacuateZone: 1,
 }
 
 
-def draw(seed, seconds):
-    """Return the faults of a run, in order."""
-    source = random.Random(seed)
+def draw_faults(seed, seconds):
+    """Return the faults of a run, in order of time."""
+    rng = random.Random(seed)
     kinds = list(_WEIGHT_BY_KIND)
     weights = list(_WEIGHT_BY_KIND.values())
     faults = []
     at_s = 0.0
     while True:
-        at_s += source.uniform(0.0, MOST_PAUSE_S)
+        at_s += rng.uniform(0.0, MAX_INTERVAL_S)
         if at_s >= seconds:
             return faults
-        (kind,) = source.choices(kinds, weights)
-        for_s = source.uniform(0.1, LONGEST_S)
-        faults.append(kind(round(at_s, 3), source.randrange(1 << 30), round(for_s, 3)))
+        (kind,) = rng.choices(kinds, weights)
+        duration_s = rng.uniform(0.1, MAX_DURATION_S)
+        faults.append(
+            kind(round(at_s, 3), rng.randrange(1 << 30), round(duration_s, 3))
+        )
 
 
-def draw_for_control(seed, seconds):
-    """Return the faults of a run that meet control VMs only.
+def draw_control_faults(seed, seconds):
+    """Return the faults of a run that affect control VMs only.
 
-    They are drawn apart, so that seeds that once failed keep their other faults.
+    They have their own random generator, so that the faults of ``draw_faults`` stay the
+    same for seeds that once failed.
     """
-    source = random.Random(f"replacement {seed}")
-    at_s = round(source.uniform(0.0, seconds), 3)
-    faults = [Replace(at_s, source.randrange(1 << 30), 0.0)]
-    for kind in (Stall, Stall, Depose, Depose):
-        at_s = round(source.uniform(0.0, seconds), 3)
-        for_s = round(source.uniform(0.5, LONGEST_S), 3)
-        faults.append(kind(at_s, source.randrange(1 << 30), for_s))
+    rng = random.Random(f"replacement {seed}")
+    at_s = round(rng.uniform(0.0, seconds), 3)
+    faults = [ReplaceControl(at_s, rng.randrange(1 << 30), 0.0)]
+    for kind in (StallDisk, StallDisk, SuspendLeader, SuspendLeader):
+        at_s = round(rng.uniform(0.0, seconds), 3)
+        duration_s = round(rng.uniform(0.5, MAX_DURATION_S), 3)
+        faults.append(kind(at_s, rng.randrange(1 << 30), duration_s))
     return faults
 
 
-def draw_for_links(seed, seconds):
-    """Return the faults of a run by which links become narrow, drawn apart as well."""
-    source = random.Random(f"narrow {seed}")
+def draw_link_faults(seed, seconds):
+    """Return the bandwidth faults of a run; they also have their own generator."""
+    rng = random.Random(f"narrow {seed}")
     faults = []
-    for _ in range(NARROW_FAULTS):
-        at_s = round(source.uniform(0.0, seconds), 3)
-        for_s = round(source.uniform(1.0, LONGEST_S), 3)
-        faults.append(Narrow(at_s, source.randrange(1 << 30), for_s))
+    for _ in range(BANDWIDTH_FAULT_COUNT):
+        at_s = round(rng.uniform(0.0, seconds), 3)
+        duration_s = round(rng.uniform(1.0, MAX_DURATION_S), 3)
+        faults.append(LimitBandwidth(at_s, rng.randrange(1 << 30), duration_s))
     return faults
 
 
 def _process(fleet, fault):
     processes = [*fleet.controls, *fleet.daemons]
-    return processes[fault.where % len(processes)]
+    return processes[fault.selector % len(processes)]
 
 
 def _proxy(fleet, fault):
-    return fleet.proxies[fault.where % len(fleet.proxies)]
+    return fleet.proxies[fault.selector % len(fleet.proxies)]
 
 
-def _tear(control, folder):
-    """Kill a control VM and leave half a record behind its log."""
+def _tear_log(control, folder):
+    """Kill a control VM, append a partial record to its log and restart it."""
     control.kill()
     logs = sorted(folder.glob("log-*"))
     if logs:
@@ -181,100 +189,110 @@
 
 
 @functools.singledispatch
-async def bring(fault, fleet):
-    """Bring a fault about and undo it; ``fleet`` is a ``SoakFleet``.
+async def inject(fault, fleet):
+    """Inject a fault and undo it; ``fleet`` is a ``SoakFleet``.
+
+    Waits for processes and disks run in threads: a killed process exits only once its
+    pending sync has returned, and this event loop carries every link of the fleet.
 
-    What waits for a process or a disk runs on a thread: a killed process ends only
-    when its sync does, and this loop carries every link of the fleet.
+    Raises
+    ------
+    TypeError
+        If the type of the fault is unknown.
     """
-    raise TypeError(f"no fault: {fault!r}")
+    raise TypeError(f"unknown fault type: {fault!r}")
 
 
-@bring.register
+@inject.register
 async def _(fault: Kill, fleet):
     async with fleet.taken(_process(fleet, fault)) as process:
         await asyncio.to_thread(process.kill)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         await asyncio.to_thread(process.start)
 
 
-@bring.register
-async def _(fault: Pause, fleet):
+@inject.register
+async def _(fault: Suspend, fleet):
     async with fleet.taken(_process(fleet, fault)) as process:
         process.send(signal.SIGSTOP)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         process.send(signal.SIGCONT)
 
 
-@bring.register
-async def _(fault: Restart, fleet):
-    daemon = fleet.daemons[fault.where % len(fleet.daemons)]
+@inject.register
+async def _(fault: RestartDaemon, fleet):
+    daemon = fleet.daemons[fault.selector % len(fleet.daemons)]
     async with fleet.taken(daemon):
         was_up = fleet.is_up(daemon)
         daemon.send(signal.SIGTERM)
         code = await asyncio.to_thread(daemon.wait, 10.0)
-        # One that has not started yet has taken nothing; the signal just ends it.
+        # Before it has started, a daemon has accepted no requests and installed no
+        # handler: SIGTERM kills it.
         if code != 0 and was_up:
-            fleet.records.breaks("planned stop", f"{daemon.name} ended with {code}")
+            fleet.records.report_violation(
+                "planned stop", f"{daemon.name} exited with code {code}"
+            )
         await asyncio.to_thread(daemon.start)
 
 
-@bring.register
-async def _(fault: Reload, fleet):
-    daemon = fleet.daemons[fault.where % len(fleet.daemons)]
-    # Before its program's first line, the interpreter ends at this signal.
+@inject.register
+async def _(fault: ReloadSettings, fleet):
+    daemon = fleet.daemons[fault.selector % len(fleet.daemons)]
+    # Until the program has installed a handler, SIGHUP kills the process.
     if not fleet.is_taken(daemon) and daemon.takes(signal.SIGHUP):
         daemon.send(signal.SIGHUP)
 
 
-@bring.register
-async def _(fault: Wipe, fleet):
-    # One disk at a time, and the group must have had time to take its VM in again: it
-    # bears the loss of one.
-    if not fleet.may_wipe():
+@inject.register
+async def _(fault: WipeDisk, fleet):
+    # The group tolerates the loss of one disk: before the next one is lost, the control
+    # VM with the previous loss must have rejoined.
+    if not fleet.try_start_wipe():
         return
-    control = fleet.controls[fault.where % len(fleet.controls)]
+    control = fleet.controls[fault.selector % len(fleet.controls)]
     async with fleet.taken(control):
         await asyncio.to_thread(fleet.wipe_control, control)
 
 
-@bring.register
-async def _(fault: Replace, fleet):
-    if not fleet.may_wipe():
+@inject.register
+async def _(fault: ReplaceControl, fleet):
+    if not fleet.try_start_wipe():
         return
-    control = fleet.controls[fault.where % len(fleet.controls)]
+    control = fleet.controls[fault.selector % len(fleet.controls)]
     async with fleet.taken(control):
-        await fleet.replaced(control, fault.where // len(fleet.controls))
+        await fleet.replace_with_seeds(control, fault.selector // len(fleet.controls))
 
 
-@bring.register
-async def _(fault: Torn, fleet):
-    control = fleet.controls[fault.where % len(fleet.controls)]
+@inject.register
+async def _(fault: TornWrite, fleet):
+    control = fleet.controls[fault.selector % len(fleet.controls)]
     async with fleet.taken(control):
-        await asyncio.to_thread(_tear, control, fleet.folder / control.name / "group")
+        await asyncio.to_thread(
+            _tear_log, control, fleet.folder / control.name / "group"
+        )
 
 
-@bring.register
-async def _(fault: Stall, fleet):
-    control = fleet.controls[fault.where % len(fleet.controls)]
+@inject.register
+async def _(fault: StallDisk, fleet):
+    control = fleet.controls[fault.selector % len(fleet.controls)]
     control.stall()
-    await asyncio.sleep(fault.for_s)
+    await asyncio.sleep(fault.duration_s)
     control.unstall()
 
 
-@bring.register
-async def _(fault: Depose, fleet):
-    control = fleet.leading()
+@inject.register
+async def _(fault: SuspendLeader, fleet):
+    control = fleet.leading_control()
     if control is None:
         return
     async with fleet.taken(control):
         control.send(signal.SIGSTOP)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         control.send(signal.SIGCONT)
 
 
-@bring.register
-async def _(fault: KillAllControl, fleet):
+@inject.register
+async def _(fault: KillAllControls, fleet):
     async with contextlib.AsyncExitStack() as stack:
         free = [each for each in fleet.controls if not fleet.is_taken(each)]
         for each in free:
@@ -283,76 +301,77 @@
         await asyncio.gather(*(asyncio.to_thread(each.start) for each in free))
 
 
-@bring.register
-async def _(fault: Slow, fleet):
+@inject.register
+async def _(fault: Delay, fleet):
     proxy = _proxy(fleet, fault)
-    proxy.delay_s = fault.for_s / 10
-    await asyncio.sleep(fault.for_s)
-    proxy.heal()
+    proxy.delay_s = fault.duration_s / 10
+    await asyncio.sleep(fault.duration_s)
+    proxy.clear_faults()
 
 
-@bring.register
-async def _(fault: Narrow, fleet):
+@inject.register
+async def _(fault: LimitBandwidth, fleet):
     proxy = _proxy(fleet, fault)
-    proxy.link = NarrowLink(NARROW_BYTES_PER_S)
-    await asyncio.sleep(fault.for_s)
-    proxy.heal()
+    proxy.link = NarrowLink(LIMITED_BYTES_PER_S)
+    await asyncio.sleep(fault.duration_s)
+    proxy.clear_faults()
 
 
-@bring.register
-async def _(fault: Reset, fleet):
+@inject.register
+async def _(fault: ResetConnections, fleet):
     _proxy(fleet, fault).reset()
 
 
-@bring.register
-async def _(fault: Silence, fleet):
+@inject.register
+async def _(fault: DropAllBytes, fleet):
     proxy = _proxy(fleet, fault)
-    proxy.silent = frozenset(Way)
-    await asyncio.sleep(fault.for_s)
-    proxy.heal()
+    proxy.silenced_directions = frozenset(Direction)
+    await asyncio.sleep(fault.duration_s)
+    proxy.clear_faults()
 
 
-@bring.register
-async def _(fault: SilenceBack, fleet):
+@inject.register
+async def _(fault: DropResponses, fleet):
     proxy = _proxy(fleet, fault)
-    proxy.silent = frozenset((Way.BACK,))
-    await asyncio.sleep(fault.for_s)
-    proxy.heal()
+    proxy.silenced_directions = frozenset((Direction.BACK,))
+    await asyncio.sleep(fault.duration_s)
+    proxy.clear_faults()
 
 
-@bring.register
-async def _(fault: Crash, fleet):
-    async with fleet.taken(fleet.place(fault.where)) as place:
-        await place.target.crash()
-        await asyncio.sleep(fault.for_s)
-        await fleet.reborn(place)
+@inject.register
+async def _(fault: CrashTarget, fleet):
+    async with fleet.taken(fleet.target_vm(fault.selector)) as vm:
+        await vm.target.crash()
+        await asyncio.sleep(fault.duration_s)
+        await fleet.restart_target(vm)
 
 
-@bring.register
-async def _(fault: Leave, fleet):
-    async with fleet.taken(fleet.place(fault.where)) as place:
-        await place.target.leave()
-        await fleet.reborn(place)
+@inject.register
+async def _(fault: DrainTarget, fleet):
+    async with fleet.taken(fleet.target_vm(fault.selector)) as vm:
+        await vm.target.leave()
+        await fleet.restart_target(vm)
 
 
-@bring.register
-async def _(fault: ZoneOut, fleet):
-    async with fleet.taken(fleet.zones[fault.where % len(fleet.zones)]) as zone:
-        await fleet.zone_out(zone, fault.for_s)
+@inject.register
+async def _(fault: EvacuateZone, fleet):
+    async with fleet.taken(fleet.zones[fault.selector % len(fleet.zones)]) as zone:
+        await fleet.evacuate_zone(zone, fault.duration_s)
 
 
 async def lose_power(seed, fleet):
-    """End all processes at once, with one control VM's disk, and start them again.
+    """Kill all processes at once, wipe one control VM's disk and restart them.
 
-    It comes right after a change was accepted, when the group is whole: as many disks
-    are lost as it bears, and no process is left that remembers anything.
+    This happens right after a change was accepted, when no other disk loss is being
+    repaired: the group loses as many disks as it tolerates, and no process keeps the
+    change in memory.
     """
     control = fleet.controls[seed % len(fleet.controls)]
     processes = [*fleet.controls, *fleet.daemons]
     async with contextlib.AsyncExitStack() as stack:
         for each in processes:
             await stack.enter_async_context(fleet.taken(each))
-        await fleet.records.next_accepted(ACCEPTED_WITHIN_S)
+        await fleet.records.next_accepted(ACCEPTED_TIMEOUT_S)
         for each in processes:
             each.send(signal.SIGKILL)
         await asyncio.gather(*(asyncio.to_thread(each.kill) for each in processes))
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes whose connections run through proxies."""
+"""A fleet of real processes whose connections pass through fault-injecting proxies."""
 
 import asyncio
 import collections
@@ -13,21 +13,21 @@
 from soak._target import SoakTarget
 from standin.fleet import HEARTBEAT_S, PORTS, TARGET_PORT, Fleet, call
 
-# Processes listen here; the stand-in's usual ports are those of the proxies.
+# Processes listen on the usual port plus this offset; proxies take the usual ports.
 LISTEN_OFFSET = 10
 ZONES = ("z0", "z1")
 SERVICES = ("owned", "owned", "owned", "shared", "shared")
-# Between two lost disks, beside the wait until the first one's VM votes again.
-WIPE_PAUSE_S = 8.0
-# After the last fault, the whole fleet serves within this time.
-RECOVERY_S = 15.0
-# A former life's port is free again within this time, also on a busy machine.
-PORT_FREE_S = 3.0
+# Minimum time between two lost disks; the VM of the first must vote again as well.
+MIN_WIPE_INTERVAL_S = 8.0
+# The whole fleet must serve within this time after the last fault.
+RECOVERY_TIMEOUT_S = 15.0
+# The port of a stopped target is free within this time, even under high CPU load.
+PORT_RELEASE_TIMEOUT_S = 3.0
 
 
 @attrs.define(eq=False)
-class Place:
-    """A VM of a target, and the target that lives there now."""
+class TargetVM:
+    """A VM of a target, and the target that currently runs there."""
 
     host: str
     service: str
@@ -36,14 +36,14 @@
 
 
 class SoakFleet(Fleet):
-    """A fleet under faults.
+    """A fleet into which faults are injected.
 
     Parameters
     ----------
     folder : Path
-        For settings, logs and data.
+        Contains settings, logs and data.
     net : int
-        Part of the loopback addresses.
+        Second octet of the loopback addresses.
     """
 
     def __init__(self, folder, net):
@@ -51,30 +51,30 @@
         self.proxies = []
         super().__init__(folder, SERVICES, net)
         self.zones = ZONES
-        self.places = []
+        self.target_vms = []
         for number, (host, service) in enumerate(
             zip(self.target_hosts, SERVICES, strict=True)
         ):
             zone = self._zone(host)
             target = SoakTarget(host, service, zone, self.records)
             self.targets[number] = target
-            self.places.append(Place(host, service, zone, target))
+            self.target_vms.append(TargetVM(host, service, zone, target))
         self._taken = set()
         self._disturbances = collections.Counter()
-        self._wiped_s = float("-inf")
-        self._newcomer = None
+        self._last_wipe_s = float("-inf")
+        self._last_emptied_control = None
 
     def _zone(self, host):
         return ZONES[self.target_hosts.index(host) % len(ZONES)]
 
-    def _behind_proxy(self, host, port):
-        """Put a proxy at an address; return the address behind it."""
+    def _add_proxy(self, host, port):
+        """Add a proxy at an address; return the address to which it forwards."""
         self.proxies.append(Proxy((host, port), (host, port + LISTEN_OFFSET)))
         return f"{host}:{port + LISTEN_OFFSET}"
 
     def _control(self, host, seeds, is_first=True):
         process = super()._control(host, seeds, is_first)
-        listen = self._behind_proxy(host, PORTS["links"])
+        listen = self._add_proxy(host, PORTS["links"])
         process.write(self._with_links_listen(process, listen))
         process.may_stall()
         return process
@@ -82,14 +82,12 @@
     def _daemon(self, target, seeds):
         process = super()._daemon(target, seeds)
         host = target.host
-        text = self._with_links_listen(
-            process, self._behind_proxy(host, PORTS["links"])
-        )
-        registry = self._behind_proxy(host, PORTS["operators"])
+        text = self._with_links_listen(process, self._add_proxy(host, PORTS["links"]))
+        registry = self._add_proxy(host, PORTS["operators"])
         text = text.replace(
             f'registry = "{host}:{PORTS["operators"]}"', f'registry = "{registry}"'
         )
-        # The target keeps its usual port, so its proxy stands beside it.
+        # The target keeps its usual port, so its proxy gets the other one.
         proxy = Proxy((host, TARGET_PORT + LISTEN_OFFSET), (host, TARGET_PORT))
         self.proxies.append(proxy)
         text = text.replace(
@@ -102,11 +100,11 @@
     def _with_links_listen(self, process, listen):
         return f'links_listen = "{listen}"\n{process.settings}'
 
-    # Parts that a fault has in its hands.
+    # Parts reserved by a fault.
 
     @contextlib.asynccontextmanager
     async def taken(self, part):
-        """Hold a process, place or zone; others wait until it is whole again."""
+        """Reserve a process, VM or zone; other faults wait until it is released."""
         while part in self._taken:
             await asyncio.sleep(0.05)
         self._taken.add(part)
@@ -117,151 +115,167 @@
             self._taken.discard(part)
 
     def is_taken(self, part):
-        """Whether a fault has the part in its hands."""
+        """Whether a fault has reserved the part."""
         return part in self._taken
 
     def disturbances(self, part):
-        """Return how often a fault took the part; rises also when it lets go."""
+        """Return a counter that rises when a fault reserves or releases the part."""
         return 2 * self._disturbances[part] - self.is_taken(part)
 
-    def may_wipe(self):
-        """Whether the group can bear the loss of a disk now."""
+    def try_start_wipe(self):
+        """Return whether the group tolerates a disk loss now; if so, note its time."""
         now = time.monotonic()
-        if now - self._wiped_s < WIPE_PAUSE_S or self._taken & set(self.controls):
+        if now - self._last_wipe_s < MIN_WIPE_INTERVAL_S or self._taken & set(
+            self.controls
+        ):
             return False
-        if not self._is_newcomer_in():
+        if not self._has_emptied_control_joined():
             return False
-        self._wiped_s = now
+        self._last_wipe_s = now
         return True
 
     def wipe_control(self, control):
-        """Kill a control VM and let it come back with an empty disk."""
-        self._newcomer = control
+        """Kill a control VM, delete its data and restart it."""
+        self._last_emptied_control = control
         super().wipe_control(control)
 
-    def _is_newcomer_in(self):
-        """Whether the control VM that last began with an empty disk votes."""
-        if self._newcomer is None:
+    def _has_emptied_control_joined(self):
+        """Whether the control VM that last started with an empty disk votes."""
+        if self._last_emptied_control is None:
             return True
-        is_in = False
-        for line in self._newcomer.lines:
+        has_joined = False
+        for line in self._last_emptied_control.lines:
             if line.get("sentence") == "control: started":
-                is_in = False
+                has_joined = False
             elif line.get("sentence") == "control: role changed":
-                is_in = line["role"] != "learner"
-        return is_in
+                has_joined = line["role"] != "learner"
+        return has_joined
 
-    async def replaced(self, control, told):
-        """Let an empty control VM stand in for ``control`` at another address.
+    async def replace_with_seeds(self, control, seed_selector):
+        """Replace ``control`` by a control VM without data at another address.
 
         Parameters
         ----------
         control : Process
-            Ends for good.
-        told : int
-            Picks the one living control VM that the new one is told.
+            Control VM that is retired.
+        seed_selector : int
+            Selects the one running control VM among the seeds of the new one.
         """
         number = self.controls.index(control)
         others = [host for host in self.control_hosts if host != control.name]
         proxies = len(self.proxies)
-        seeds = [control.name, others[told % len(others)]]
+        seeds = [control.name, others[seed_selector % len(others)]]
         await asyncio.to_thread(self.replace_control, number, seeds)
-        self._newcomer = self.controls[number]
+        self._last_emptied_control = self.controls[number]
         for proxy in self.proxies[proxies:]:
             await proxy.start()
 
-    def place(self, number):
-        """Return the place of a target."""
-        return self.places[number % len(self.places)]
+    def target_vm(self, number):
+        """Return a target's VM; ``number`` is taken modulo their count."""
+        return self.target_vms[number % len(self.target_vms)]
 
-    async def reborn(self, place):
-        """Start the next life of a place's target."""
-        target = SoakTarget(place.host, place.service, place.zone, self.records)
-        await self._listening(target)
-        self.targets[self.places.index(place)] = place.target = target
+    async def restart_target(self, vm):
+        """Start a new target on a target's VM."""
+        target = SoakTarget(vm.host, vm.service, vm.zone, self.records)
+        await self._start_target(target)
+        self.targets[self.target_vms.index(vm)] = vm.target = target
 
-    async def _listening(self, target):
+    async def _start_target(self, target):
         """Start a target as soon as its port is free.
 
-        A process that another run's thread is just starting holds a copy of the former
-        life's listening socket until it runs its own program.
+        A process that another run's thread is just forking keeps a copy of the previous
+        target's listening socket until its exec.
+
+        Raises
+        ------
+        OSError
+            If the port is still in use after ``PORT_RELEASE_TIMEOUT_S``, or another
+            error occurs.
         """
-        until_s = time.monotonic() + PORT_FREE_S
+        deadline_s = time.monotonic() + PORT_RELEASE_TIMEOUT_S
         while True:
             try:
                 await target.start()
                 return
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or time.monotonic() > until_s:
+                if error.errno != errno.EADDRINUSE or time.monotonic() > deadline_s:
                     raise
             await asyncio.sleep(0.05)
 
-    async def zone_out(self, zone, for_s):
-        """Take a zone out, look on until nothing may arrive there, take it in."""
+    async def evacuate_zone(self, zone, duration_s):
+        """Evacuate a zone, wait until no request may start there, then return it."""
         answer = await self.order(f"/api/evacuation/{zone}/start")
         if answer.status != 200:
             return
         self.records.zone_out_since_s[zone] = time.monotonic()
-        await asyncio.sleep(self.records.zone_out_s + for_s)
-        # From the first try on, the zone may be in again.
+        await asyncio.sleep(self.records.zone_out_s + duration_s)
+        # The zone may be in service again from the first attempt on.
         del self.records.zone_out_since_s[zone]
         await self.order(f"/api/evacuation/{zone}/finish", timeout_s=40.0)
 
-    def leading(self):
-        """Return the control VM that said last that it leads, None if none did."""
-        terms = {
+    def leading_control(self):
+        """Return the control VM that logged the highest term as leader, or None."""
+        control_by_term = {
             line["term"]: control
             for control in self.controls
             for line in control.lines
             if line.get("sentence") == "control: leads"
         }
-        return terms[max(terms)] if terms else None
+        return control_by_term[max(control_by_term)] if control_by_term else None
 
     def is_up(self, process):
-        """Whether the process has said that it started, since it was started last."""
+        """Whether the process has logged its start since it was last started."""
         lines = process.lines
         started = [
             each for each in lines if each.get("sentence", "").endswith(": started")
         ]
         return len(started) >= process.starts
 
-    # Start and end.
+    # Lifecycle and final checks.
 
     async def start(self):
-        """Start the proxies and the fleet."""
+        """Start the proxies, then the fleet."""
         for proxy in self.proxies:
             await proxy.start()
         await super().start()
 
     async def stop(self):
-        """Kill all processes that this fleet started."""
+        """Kill all processes of the fleet and stop the proxies."""
         await super().stop()
         for proxy in self.proxies:
             await proxy.stop()
 
-    async def check_whole(self):
-        """Check that all is well again once the faults are over."""
+    async def check_recovered(self):
+        """Check that the whole fleet has recovered from the faults."""
         try:
-            await self.until(self._serves, RECOVERY_S)
+            await self.until(self._serves, RECOVERY_TIMEOUT_S)
         except AssertionError:
-            self.records.breaks("recovery", f"not whole after {RECOVERY_S} s")
-        if not self._is_newcomer_in():
-            self.records.breaks("recovery", f"{self._newcomer.name} was not let in")
+            self.records.report_violation(
+                "recovery", f"not recovered after {RECOVERY_TIMEOUT_S} s"
+            )
+        if not self._has_emptied_control_joined():
+            self.records.report_violation(
+                "recovery", f"{self._last_emptied_control.name} hasn't joined the group"
+            )
         for process in (*self.controls, *self.daemons):
             if process.has_ended:
                 code = process.wait(0.0)
-                self.records.breaks("runs on", f"{process.name} ended with {code}")
+                self.records.report_violation(
+                    "runs on", f"{process.name} exited with code {code}"
+                )
             for line in process.lines:
                 if line.get("sentence", "").endswith(("internal error", "duty failed")):
-                    self.records.breaks("no faults", f"{process.name}: {line}")
+                    self.records.report_violation(
+                        "no faults", f"{process.name}: {line}"
+                    )
 
-    async def settle(self):
-        """Wait until targets have ended what they work on."""
+    async def wait_for_targets(self):
+        """Wait until targets have completed their requests."""
         await asyncio.sleep(4 * HEARTBEAT_S)
 
 
 async def read_version(host):
-    """Return the version that a control VM reads back, None if it can't."""
+    """Return the configuration version read from a control VM, None if it fails."""
     headers = [("Host", "x")]
     answer = await call(host, PORTS["operators"], "GET", "/api/config/read", headers)
     if answer.status != 200:
--- a/soak/_load.py
+++ b/soak/_load.py
@@ -1,4 +1,4 @@
-"""Callers and operators of a soak; callers keep their connections while they can."""
+"""Simulated callers and operators of a soak; callers reuse their connections."""
 
 import asyncio
 import contextlib
@@ -9,32 +9,32 @@
 import time
 
 from soak._fleet import read_version
-from soak._records import Asked
+from soak._records import CallerRequest
 from standin.fleet import CONFIGURATION, PORTS
 
 DEADLINE_S = 2.0
-# A caller that still has no answer so long after its deadline gives the connection up.
-GIVE_UP_S = 4.0
-CALLER_PAUSE_S = 0.05
-ORDER_PAUSE_S = 0.7
-# Part of the orders that two operators send at once, on the same version.
-RACE_PART = 0.3
-# Part of the bookings with a large body, and how often its attempt stands in one.
-LARGE_PART = 0.15
-MOST_BODY_WORDS = 20_000
+# A caller without a response this long after its deadline closes the connection.
+RESPONSE_GRACE_S = 4.0
+MEAN_CALLER_PAUSE_S = 0.05
+MEAN_CHANGE_INTERVAL_S = 0.7
+# Fraction of changes that two operators send at once, based on the same version.
+RACE_FRACTION = 0.3
+# Fraction of bookings with a large body, and how often it repeats the attempt id.
+LARGE_BODY_FRACTION = 0.15
+MAX_BODY_REPEATS = 20_000
 
 
 class Caller:
-    """One caller: a request at a time, on a connection that it keeps.
+    """A caller that sends one request at a time on a persistent connection.
 
     Parameters
     ----------
     fleet : SoakFleet
-        Asked at one daemon, another one once that is gone.
+        Receives the requests, at one daemon until the connection to it closes.
     number : int
-        Unique.
+        Unique number, part of the attempt ids.
     seed : int
-        Of the run.
+        Seed of the run.
     """
 
     def __init__(self, fleet, number, seed):
@@ -45,34 +45,36 @@
         self._streams = None
 
     async def run(self):
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         try:
             while True:
-                await self._ask()
-                await asyncio.sleep(self._random.uniform(0, 2 * CALLER_PAUSE_S))
+                await self._send_request()
+                await asyncio.sleep(self._random.uniform(0, 2 * MEAN_CALLER_PAUSE_S))
         finally:
             self._close()
 
-    async def _ask(self):
+    async def _send_request(self):
         if self._streams is None and not await self._open():
             return
         is_safe = self._random.random() < 0.5
         key = self._random.randrange(65536) if is_safe else None
         now = time.monotonic()
-        asked = Asked(next(self._attempts), key, is_safe, now, now + DEADLINE_S)
+        request = CallerRequest(
+            next(self._attempts), key, is_safe, now, now + DEADLINE_S
+        )
         fleet = self._fleet
         daemon, before = self._daemon, fleet.disturbances(self._daemon)
-        asked.was_disturbed = fleet.is_taken(daemon)
-        left_s = DEADLINE_S + GIVE_UP_S
+        request.was_disturbed = fleet.is_taken(daemon)
+        timeout_s = DEADLINE_S + RESPONSE_GRACE_S
         try:
-            async with asyncio.timeout(left_s):
-                asked.status, asked.body = await self._exchange(asked)
+            async with asyncio.timeout(timeout_s):
+                request.status, request.body = await self._exchange(request)
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             self._close()
         finally:
-            asked.ended_s = time.monotonic()
-            asked.was_disturbed |= fleet.disturbances(daemon) != before
-            fleet.records.ended(asked)
+            request.ended_s = time.monotonic()
+            request.was_disturbed |= fleet.disturbances(daemon) != before
+            fleet.records.ended(request)
 
     async def _open(self):
         self._daemon = self._random.choice(self._fleet.daemons)
@@ -82,24 +84,24 @@
                     self._daemon.name, PORTS["callers"]
                 )
         except (OSError, TimeoutError):
-            await asyncio.sleep(CALLER_PAUSE_S)
+            await asyncio.sleep(MEAN_CALLER_PAUSE_S)
         return self._streams is not None
 
-    async def _exchange(self, asked):
+    async def _exchange(self, request):
         reader, writer = self._streams
-        path, method = ("/owned/", "GET") if asked.is_safe else ("/shared/", "POST")
+        path, method = ("/owned/", "GET") if request.is_safe else ("/shared/", "POST")
         lines = [
-            f"{method} {path}{asked.attempt} HTTP/1.1",
+            f"{method} {path}{request.attempt} HTTP/1.1",
             "Host: h.example",
-            f"Tamarackhaven-Attempt-Id: {asked.attempt}",
+            f"Tamarackhaven-Attempt-Id: {request.attempt}",
             f"Tamarackhaven-Deadline-Ms: {DEADLINE_S * 1000:.0f}",
         ]
-        if asked.key is not None:
-            lines.append(f"Tamarackhaven-Shard-Key: {asked.key}")
-        if not asked.is_safe:
-            asked.sent = self._body(asked.attempt)
-        lines += [f"Content-Length: {len(asked.sent)}", "", ""]
-        writer.write("\r\n".join(lines).encode() + asked.sent)
+        if request.key is not None:
+            lines.append(f"Tamarackhaven-Shard-Key: {request.key}")
+        if not request.is_safe:
+            request.sent = self._body(request.attempt)
+        lines += [f"Content-Length: {len(request.sent)}", "", ""]
+        writer.write("\r\n".join(lines).encode() + request.sent)
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
         length = int(head.split("content-length:", 1)[1].split("\r\n", 1)[0])
         answer = await reader.readexactly(length)
@@ -108,10 +110,10 @@
         return int(head.split()[1]), answer
 
     def _body(self, attempt):
-        """Return a booking's body, mostly its attempt only, at times a large one."""
-        if self._random.random() >= LARGE_PART:
+        """Return a booking's body: the attempt id, sometimes repeated many times."""
+        if self._random.random() >= LARGE_BODY_FRACTION:
             return attempt.encode()
-        return attempt.encode() * self._random.randint(1, MOST_BODY_WORDS)
+        return attempt.encode() * self._random.randint(1, MAX_BODY_REPEATS)
 
     def _close(self):
         if self._streams is not None:
@@ -120,7 +122,7 @@
 
 
 class Operator:
-    """Changes the configuration again and again, and reads it back."""
+    """Repeatedly changes the configuration and reads it back."""
 
     def __init__(self, fleet, seed):
         self._fleet = fleet
@@ -129,10 +131,10 @@
         self._version = 1
 
     async def run(self):
-        """Send orders until cancelled."""
+        """Send changes until cancelled."""
         while True:
-            await asyncio.sleep(self._random.uniform(0, 2 * ORDER_PAUSE_S))
-            if self._random.random() < RACE_PART:
+            await asyncio.sleep(self._random.uniform(0, 2 * MEAN_CHANGE_INTERVAL_S))
+            if self._random.random() < RACE_FRACTION:
                 await self._race()
             else:
                 await self._change(self._next_version())
@@ -143,7 +145,7 @@
         return self._version
 
     async def _change(self, version):
-        """Order a change on what is known to be in force; tell whether it was taken."""
+        """Send a change of the last known version; return whether it was accepted."""
         document = copy.deepcopy(CONFIGURATION)
         document["version"] = f"r{version}"
         timeout_s = round(self._random.uniform(1.8, 2.2), 3)
@@ -156,19 +158,19 @@
                 self._base = version
                 self._fleet.records.accepted(version)
                 return True
-            await self._learn()
+            await self._refresh_version()
         return False
 
     async def _race(self):
-        """Two operators change the same version at once; one may win at most."""
+        """Send two changes of the same version at once; at most one may be accepted."""
         base = self._base
         first, second = self._next_version(), self._next_version()
         taken = await asyncio.gather(self._change(first), self._change(second))
         if all(taken):
-            self._fleet.records.breaks("one wins", f"two changes on r{base}")
+            self._fleet.records.report_violation("one wins", f"two changes on r{base}")
 
-    async def _learn(self):
-        """Find out what is in force, after an order without a clear answer."""
+    async def _refresh_version(self):
+        """Read the current version after a change without a definite result."""
         for host in self._fleet.control_hosts:
             version = await read_version(host)
             if version is not None:
@@ -176,7 +178,7 @@
                 self._version = max(self._version, version)
 
     async def read(self, host):
-        """Read the configuration back at one control VM."""
+        """Read the version from one control VM and check it; None if that fails."""
         accepted = self._fleet.records.newest_accepted
         version = await read_version(host)
         if version is not None:
@@ -187,13 +189,16 @@
 def describe(records):
     """Return the counts of a run as a line of JSON.
 
-    With its longest stall, and the most that one process had of a core.
+    Includes the longest stall of the event loop in seconds and the maximum fraction of
+    a core that a process used.
     """
-    counts = {str(status): count for status, count in sorted(records.counts.items())}
+    count_by_status = {
+        str(status): count for status, count in sorted(records.counts.items())
+    }
     described = {
-        "asked": len(records.asked),
-        "answers": counts,
+        "asked": len(records.requests),
+        "answers": count_by_status,
         "stall_s": round(records.longest_stall_s, 2),
-        "busy": round(records.most_busy, 2),
+        "busy": round(records.max_core_fraction, 2),
     }
     return json.dumps(described)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections can be delayed, silenced and reset."""
+"""A TCP proxy on loopback that can delay, drop or limit bytes or reset connections."""
 
 import asyncio
 import enum
@@ -6,29 +6,29 @@
 READ_BYTES = 65536
 
 
-class Way(enum.Enum):
-    """Direction of bytes, seen from the side that connects."""
+class Direction(enum.Enum):
+    """Direction of bytes, from the point of view of the connecting side."""
 
     THERE = "there"
     BACK = "back"
 
 
 class Proxy:
-    """Passes connections on, as far as it is let.
+    """Forwards connections, subject to the faults set in its attributes.
 
     Parameters
     ----------
     address, to : tuple of (str, int)
-        Where it listens, and where it passes connections on to.
+        Address on which it listens, and address to which it forwards.
 
     Attributes
     ----------
     delay_s : float
-        By how much it holds up all bytes.
+        Delay of each chunk of bytes, in seconds.
     link : NarrowLink or None
-        What carries the bytes there.
-    silent : frozenset of Way
-        Ways on which nothing passes.
+        Limits the bandwidth in direction ``THERE``.
+    silenced_directions : frozenset of Direction
+        Directions in which no bytes are forwarded.
     """
 
     def __init__(self, address, to):
@@ -36,16 +36,16 @@
         self._to = to
         self.delay_s = 0.0
         self.link = None
-        self.silent = frozenset()
+        self.silenced_directions = frozenset()
         self._writers = set()
         self._server = None
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, *self.address)
 
     async def stop(self):
-        """Stop listening, if it ever did, and reset all connections."""
+        """Stop listening, if started, and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -55,50 +55,50 @@
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    def heal(self):
-        """Delay, hold up and silence nothing any more.
+    def clear_faults(self):
+        """Remove all faults.
 
-        What was silenced is lost, so connections that went through it are reset.
+        Bytes in silenced directions are lost, so connections are reset if any was.
         """
-        was_silent = bool(self.silent)
+        had_silenced = bool(self.silenced_directions)
         self.delay_s = 0.0
         self.link = None
-        self.silent = frozenset()
-        if was_silent:
+        self.silenced_directions = frozenset()
+        if had_silenced:
             self.reset()
 
     async def _serve(self, reader, writer):
         try:
             other_reader, other = await asyncio.open_connection(*self._to)
-            await self._join(reader, writer, other_reader, other)
+            await self._forward_both(reader, writer, other_reader, other)
         except OSError:
             writer.transport.abort()
         except asyncio.CancelledError:
-            # The run has ended; the library reports a cancelled server task as a fault.
+            # The run has ended; asyncio logs a cancelled server task as an error.
             return
 
-    async def _join(self, reader, writer, other_reader, other):
+    async def _forward_both(self, reader, writer, other_reader, other):
         self._writers |= {writer, other}
         try:
             await asyncio.gather(
-                self._pass(reader, other, Way.THERE),
-                self._pass(other_reader, writer, Way.BACK),
+                self._forward(reader, other, Direction.THERE),
+                self._forward(other_reader, writer, Direction.BACK),
             )
         finally:
             self._writers -= {writer, other}
             for each in (writer, other):
                 each.transport.abort()
 
-    async def _pass(self, reader, writer, way):
+    async def _forward(self, reader, writer, direction):
         try:
             while data := await reader.read(READ_BYTES):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                if self.link is not None and way is Way.THERE:
+                if self.link is not None and direction is Direction.THERE:
                     await self.link.carry(len(data))
-                # Bytes on a silenced way are lost, and so are those behind them: a
-                # stream with a hole in it is no TCP.
-                while way in self.silent:
+                # Bytes in a silenced direction are lost, and so are all later ones: TCP
+                # never delivers a stream with a gap.
+                while direction in self.silenced_directions:
                     await asyncio.sleep(0.05)
                     if reader.at_eof():
                         break
--- a/soak/_records.py
+++ b/soak/_records.py
@@ -1,4 +1,4 @@
-"""What callers, targets and operators saw in one run, and which promises it breaks."""
+"""Observations of callers, targets and operators in a run, and guarantee checks."""
 
 import asyncio
 import collections
@@ -7,31 +7,34 @@
 
 import attrs
 
-# Statuses by which a caller concludes that its request did not run.
-NOT_RUN = frozenset((408, 421, 429, 503))
-# From an acknowledged leave to the last new request, and the same for a zone; the
-# fleet's settings, and a little for the stand-ins' own event loop.
-SLACK_S = 0.3
-# A shorter stand-still of the run's own loop is part of the slack.
-LEAST_STALL_S = 0.25
-# An answer later than this after the deadline was held back.
-LATE_S = 1.0
+# Statuses from which a caller concludes that its request wasn't executed.
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
+# Tolerance for requests that start after the drain time of a target or the evacuation
+# time of a zone; covers delays of the simulated targets' event loop.
+TIMING_TOLERANCE_S = 0.3
+# Shorter stalls of the run's event loop are covered by the tolerance.
+MIN_STALL_S = 0.25
+# A response later than this after its deadline counts as held back.
+MAX_LATENESS_S = 1.0
 
 
 @attrs.define
-class Asked:
-    """One request of a caller.
+class CallerRequest:
+    """One request of a caller and its response.
 
     Parameters
     ----------
     attempt, key, is_safe
-        What was sent; ``key`` is None for shared services.
+        Attempt id, shard key and whether the request is safe; ``key`` is None for
+        shared services.
+    sent_s, deadline_s, ended_s : float
+        Times of ``time.monotonic()``, in seconds.
     was_disturbed : bool
-        Whether the process that took it was stopped, paused or killed meanwhile.
+        Whether its daemon was stopped, paused or killed before the request ended.
     status : int
-        0 if the connection ended without an answer.
+        HTTP status; 0 if the connection ended without a response.
     sent : bytes
-        Body of the request; a target's answer ends with it.
+        Body of the request; a target's response ends with it.
     """
 
     attempt: str
@@ -48,26 +51,28 @@
 
 @attrs.define
 class Records:
-    """All observations of a run; each check appends to ``broken``.
+    """All observations of a run; each check appends to ``violations``.
 
     Parameters
     ----------
     stalls : list of (float, float)
-        From when to when the run's own event loop stood still.
-    next_look_s : float
-        When the loop is looked at next; from then on it stands still until it is.
-    most_busy : float
-        Part of a core that one process used within a second.
+        Start and end of the stalls of the run's event loop, in seconds.
+    next_loop_check_s : float
+        Time of the next stall check; if it has passed, the loop is stalled since then.
+    max_core_fraction : float
+        Maximum fraction of a core that a process used between two checks.
     """
 
-    broken: list = attrs.field(factory=list)
-    asked: list = attrs.field(factory=list)
+    violations: list = attrs.field(factory=list)
+    requests: list = attrs.field(factory=list)
     counts: collections.Counter = attrs.field(factory=collections.Counter)
-    begun_by_attempt: dict = attrs.field(factory=lambda: collections.defaultdict(list))
+    executions_by_attempt: dict = attrs.field(
+        factory=lambda: collections.defaultdict(list)
+    )
     newest_accepted: int = 0
     stalls: list = attrs.field(factory=list)
-    next_look_s: float = float("inf")
-    most_busy: float = 0.0
+    next_loop_check_s: float = float("inf")
+    max_core_fraction: float = 0.0
     drain_s: float = 2.0
     zone_out_s: float = 5.0
     targets: list = attrs.field(factory=list)
@@ -75,95 +80,131 @@
     _fence_by_key: dict = attrs.field(factory=dict)
     _accepted: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def breaks(self, promise, detail):
-        """Note a broken promise."""
-        self.broken.append(f"{promise}: {detail}")
+    def report_violation(self, guarantee, detail):
+        """Record the violation of a guarantee."""
+        self.violations.append(f"{guarantee}: {detail}")
 
     # Targets.
 
-    def told(self, target, rows):
-        """Check the fencing tokens of keys that a target takes."""
+    def check_fences(self, target, rows):
+        """Check the fencing tokens of the keys granted to a target.
+
+        A new holder of a key must have a higher token than all holders before it.
+        """
         for first, last, fence, _ in rows:
             for key in range(-(-first // 1024) * 1024, last + 1, 1024):
                 holder, highest = self._fence_by_key.get(key, ("", 0))
-                life = f"{target.name}@{target.born_ms}"
-                if life != holder and fence <= highest:
-                    self.breaks("fences", f"key {key}: {fence} after {highest}")
-                self._fence_by_key[key] = life, max(fence, highest)
-
-    def begun(self, target, attempt, key):
-        """Check that ``target`` may begin a request now."""
-        now = time.monotonic()
-        self.begun_by_attempt[attempt].append((target.name, now))
-        left_s = target.left_s
-        if left_s is not None and self._passed_s(left_s, now) > SLACK_S:
-            self.breaks("drain", f"{attempt} began at {target.name} after its leave")
+                incarnation = f"{target.name}@{target.born_ms}"
+                if incarnation != holder and fence <= highest:
+                    self.report_violation(
+                        "fences", f"key {key}: {fence} after {highest}"
+                    )
+                self._fence_by_key[key] = incarnation, max(fence, highest)
+
+    def check_start(self, target, attempt, key):
+        """Check that ``target`` may start executing a request now."""
+        now_s = time.monotonic()
+        self.executions_by_attempt[attempt].append((target.name, now_s))
+        drain_end_s = target.drain_end_s
+        if (
+            drain_end_s is not None
+            and self._elapsed_without_stalls_s(drain_end_s, now_s) > TIMING_TOLERANCE_S
+        ):
+            self.report_violation(
+                "drain", f"{attempt} started at {target.name} after its drain time"
+            )
         out_s = self.zone_out_since_s.get(target.zone)
-        if out_s is not None and self._passed_s(out_s + self.zone_out_s, now) > SLACK_S:
-            self.breaks("zone out", f"{attempt} began at {target.name}")
+        if (
+            out_s is not None
+            and self._elapsed_without_stalls_s(out_s + self.zone_out_s, now_s)
+            > TIMING_TOLERANCE_S
+        ):
+            self.report_violation("zone out", f"{attempt} started at {target.name}")
         if key is None:
             return
         for other in self.targets:
             if other is not target and other.is_up and other.holds(key):
-                self.breaks("one owner", f"key {key}: {target.name} and {other.name}")
+                self.report_violation(
+                    "one owner", f"key {key}: {target.name} and {other.name}"
+                )
 
     # Callers.
 
-    def ended(self, asked):
-        """Take in the end of a caller's request."""
-        self.asked.append(asked)
-        self.counts[asked.status] += 1
-        if asked.status == 200 and asked.attempt.encode() not in asked.body:
-            self.breaks("whole answers", f"{asked.attempt} got {asked.body[:60]!r}")
-        if asked.status == 200 and not asked.body.endswith(asked.sent):
-            self.breaks("whole bodies", f"{asked.attempt}, {len(asked.sent)} bytes")
+    def ended(self, request):
+        """Record a completed request of a caller and check its response."""
+        self.requests.append(request)
+        self.counts[request.status] += 1
+        if request.status == 200 and request.attempt.encode() not in request.body:
+            self.report_violation(
+                "whole answers", f"{request.attempt} got {request.body[:60]!r}"
+            )
+        if request.status == 200 and not request.body.endswith(request.sent):
+            self.report_violation(
+                "whole bodies", f"{request.attempt}, {len(request.sent)} bytes"
+            )
 
     def check_end(self):
-        """Check what holds only once everything has ended."""
-        for asked in self.asked:
-            begun = self.begun_by_attempt.get(asked.attempt, ())
-            if not asked.is_safe and len(begun) > 1:
-                self.breaks("at most once", f"{asked.attempt} ran {len(begun)} times")
-            if not asked.is_safe and asked.status in NOT_RUN and begun:
-                self.breaks("not run", f"{asked.attempt}: {asked.status}, yet it ran")
-            if asked.status == 200 and not begun:
-                self.breaks("whole answers", f"{asked.attempt} never ran")
-            late_s = self._passed_s(asked.deadline_s, asked.ended_s)
-            if asked.status and late_s > LATE_S and not asked.was_disturbed:
-                self.breaks("held", f"{asked.attempt}: {late_s:.2f} s late")
-
-    def _passed_s(self, since_s, until_s):
-        """Return the time from one moment to another less what the loop stood still.
-
-        While it stands, what is there is read by nobody, and counts as late afterwards.
+        """Check the guarantees that need all requests to have ended."""
+        for request in self.requests:
+            starts = self.executions_by_attempt.get(request.attempt, ())
+            if not request.is_safe and len(starts) > 1:
+                self.report_violation(
+                    "at most once", f"{request.attempt} executed {len(starts)} times"
+                )
+            if (
+                not request.is_safe
+                and request.status in NOT_EXECUTED_STATUSES
+                and starts
+            ):
+                self.report_violation(
+                    "not run",
+                    f"{request.attempt}: status {request.status}, but executed",
+                )
+            if request.status == 200 and not starts:
+                self.report_violation(
+                    "whole answers", f"{request.attempt} never executed"
+                )
+            late_s = self._elapsed_without_stalls_s(request.deadline_s, request.ended_s)
+            if request.status and late_s > MAX_LATENESS_S and not request.was_disturbed:
+                self.report_violation("held", f"{request.attempt}: {late_s:.2f} s late")
+
+    def _elapsed_without_stalls_s(self, since_s, until_s):
+        """Return the time between two moments minus event loop stalls, in seconds.
+
+        Bytes that arrive during a stall aren't read until it ends and so seem late.
         """
-        passed_s = until_s - since_s
-        for stood_since_s, stood_until_s in (*self.stalls, (self.next_look_s, until_s)):
-            if stood_until_s - stood_since_s < LEAST_STALL_S:
+        elapsed_s = until_s - since_s
+        for stall_start_s, stall_end_s in (
+            *self.stalls,
+            (self.next_loop_check_s, until_s),
+        ):
+            if stall_end_s - stall_start_s < MIN_STALL_S:
                 continue
-            stood_s = min(stood_until_s, until_s) - max(stood_since_s, since_s)
-            passed_s -= max(stood_s, 0.0)
-        return passed_s
+            overlap_s = min(stall_end_s, until_s) - max(stall_start_s, since_s)
+            elapsed_s -= max(overlap_s, 0.0)
+        return elapsed_s
 
     @property
     def longest_stall_s(self):
-        """For how long the run's own event loop once stood still."""
+        """The longest stall of the run's event loop, in seconds."""
         return max((until_s - since_s for since_s, until_s in self.stalls), default=0.0)
 
     # Operators.
 
     def accepted(self, version):
-        """Note that a configuration was acknowledged."""
+        """Record that a configuration was acknowledged."""
         self.newest_accepted = max(self.newest_accepted, version)
         self._accepted.set()
 
     async def next_accepted(self, timeout_s):
-        """Wait until a configuration is acknowledged, ``timeout_s`` at most."""
+        """Wait until a configuration is acknowledged, at most ``timeout_s`` seconds."""
         self._accepted.clear()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._accepted.wait(), timeout_s)
 
     def read(self, version, accepted_before):
-        """Check a configuration that was read back."""
+        """Check that a configuration read back isn't older than an accepted one."""
         if version < accepted_before:
-            self.breaks("never reverts", f"read r{version} after r{accepted_before}")
+            self.report_violation(
+                "never reverts", f"read r{version} after r{accepted_before}"
+            )
--- a/soak/_target.py
+++ b/soak/_target.py
@@ -1,4 +1,4 @@
-"""A target that tells the records what it is told and what it begins."""
+"""A simulated target that reports its grants and executions to the records."""
 
 import asyncio
 import random
@@ -6,19 +6,19 @@
 
 from standin.fleet import HEARTBEAT_S, Target
 
-# A target's clock runs this part slow at most, so that its holds last longer.
-SLOW_CLOCK = 1.02
-# A target that drains goes on for so long, and sends its goodbye then.
-DRAINS_S = 1.5
+# Simulates the slowest clock allowed for a target, by which its holds last longer.
+HOLD_TIME_FACTOR = 1.02
+# A draining target sends its goodbye after this time, and stops after it once more.
+DRAIN_DURATION_S = 1.5
 
 
 class SoakTarget(Target):
-    """A stand-in target under observation.
+    """A simulated target whose grants and executions are checked.
 
     Parameters
     ----------
     records : Records
-        Of the run.
+        Records of the run.
     """
 
     def __init__(self, host, service, zone, records):
@@ -26,39 +26,41 @@
         self.name = f"i-{host}-{self.born_ms}"
         self._records = records
         self.is_up = False
-        self.left_s = None
+        self.drain_end_s = None
 
     async def start(self):
-        """Listen and begin to send heartbeats."""
+        """Listen and start sending heartbeats."""
         await super().start()
         self.is_up = True
         self._records.targets.append(self)
 
     async def crash(self):
-        """End at once."""
+        """Stop at once, without a goodbye."""
         self.is_up = False
         await self.stop()
 
     async def leave(self):
-        """Drain, say goodbye and end."""
+        """Drain, send a goodbye and stop."""
         self.state = "draining"
-        await asyncio.sleep(DRAINS_S + HEARTBEAT_S)
-        await self._tell("leave", {}, time.monotonic())
-        await asyncio.sleep(DRAINS_S)
+        await asyncio.sleep(DRAIN_DURATION_S + HEARTBEAT_S)
+        await self._post("leave", {}, time.monotonic())
+        await asyncio.sleep(DRAIN_DURATION_S)
         await self.crash()
 
-    def _take(self, told, sent):
-        if self.state == "draining" and self.left_s is None:
-            self.left_s = time.monotonic() + self._records.drain_s
-        if "active_holds" in told:
-            self._records.told(self, told["active_holds"])
-            told["hold_s"] *= SLOW_CLOCK
-        return super()._take(told, sent)
+    def _apply_grants(self, response, sent_s):
+        if self.state == "draining" and self.drain_end_s is None:
+            self.drain_end_s = time.monotonic() + self._records.drain_s
+        if "active_holds" in response:
+            self._records.check_fences(self, response["active_holds"])
+            response["hold_s"] *= HOLD_TIME_FACTOR
+        return super()._apply_grants(response, sent_s)
 
     async def _answer(self, line, headers, body):
         self.work_s = random.uniform(0.01, 0.4)
         return await super()._answer(line, headers, body)
 
-    def _begin(self, attempt, key):
-        super()._begin(attempt, key)
-        self._records.begun(self, attempt, key if self.service == "owned" else None)
+    def _record_start(self, attempt, key):
+        super()._record_start(attempt, key)
+        self._records.check_start(
+            self, attempt, key if self.service == "owned" else None
+        )
--- a/standin/fleet.py
+++ b/standin/fleet.py
@@ -111,7 +111,7 @@
         self.begun = []
         self.held_by_range = {}
         self.fence_by_key_range = {}
-        self._held_until = 0.0
+        self._held_until_s = 0.0
         self._sequence = 0
         self._released = []
         self._server = None
@@ -135,7 +135,7 @@
 
     def holds(self, key):
         """Whether the target may execute requests for ``key`` now."""
-        return time.monotonic() < self._held_until and any(
+        return time.monotonic() < self._held_until_s and any(
             first <= key <= last for first, last in self.held_by_range
         )
 
@@ -146,8 +146,8 @@
 
     async def _send_heartbeat(self):
         self._sequence += 1
-        sent = time.monotonic()
-        if sent >= self._held_until:
+        sent_s = time.monotonic()
+        if sent_s >= self._held_until_s:
             self.held_by_range = {}
         rows = [[*keys, fence] for keys, fence in self.held_by_range.items()]
         document = {
@@ -167,12 +167,12 @@
             "active_holds": rows,
             "released": self._released,
         }
-        return await self._tell("heartbeat", document, sent)
+        return await self._post("heartbeat", document, sent_s)
 
-    async def _tell(self, what, document, sent):
+    async def _post(self, what, document, sent_s):
         """Send a heartbeat or a goodbye; return whether another one is due soon.
 
-        ``sent`` is the ``time.monotonic()`` of sending, in seconds.
+        ``sent_s`` is the ``time.monotonic()`` of sending, in seconds.
         """
         answer = await call(
             self.host,
@@ -186,17 +186,19 @@
         if answer.status != 200:
             return False
         self._released = []
-        return self._take(json.loads(answer.body), sent)
+        return self._apply_grants(json.loads(answer.body), sent_s)
 
-    def _take(self, told, sent):
-        if "active_holds" not in told:
+    def _apply_grants(self, response, sent_s):
+        if "active_holds" not in response:
             return False
-        new = {(first, last): fence for first, last, fence, _ in told["active_holds"]}
-        gone = [keys for keys in self.held_by_range if keys not in new]
-        self._released = [[*keys, f"t{keys[0]}"] for keys in gone]
+        new = {
+            (first, last): fence for first, last, fence, _ in response["active_holds"]
+        }
+        released = [keys for keys in self.held_by_range if keys not in new]
+        self._released = [[*keys, f"t{keys[0]}"] for keys in released]
         self.held_by_range = new
-        self._held_until = sent + told["hold_s"]
-        return bool(gone)
+        self._held_until_s = sent_s + response["hold_s"]
+        return bool(released)
 
     async def _serve(self, reader, writer):
         self._writers.add(writer)
@@ -218,7 +220,7 @@
         finally:
             self._writers.discard(writer)
 
-    def _begin(self, attempt, key):
+    def _record_start(self, attempt, key):
         """Record that the execution of an attempt starts."""
         self.begun.append(attempt)
 
@@ -231,7 +233,7 @@
                 b"HTTP/1.1 421 Misdirected\r\nTamarackhaven-Not-Executed: 1\r\n"
                 b"Content-Length: 0\r\n\r\n"
             )
-        self._begin(attempt, key)
+        self._record_start(attempt, key)
         await asyncio.sleep(self.work_s)
         self.ran.append((attempt, key, time.monotonic()))
         text = f"{self.name} {line.split()[1]} ".encode() + body
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself: its checks see what they should, and some runs pass."""
+"""Tests of the soak: its checks detect violations, and some runs pass."""
 
 import asyncio
 import contextlib
@@ -11,18 +11,18 @@
 import pytest
 
 from soak.__main__ import end, is_in_use, main
-from soak._faults import draw
-from soak._proxy import Proxy, Way
-from soak._records import Asked, Records
+from soak._faults import draw_faults
+from soak._proxy import Direction, Proxy
+from soak._records import CallerRequest, Records
 from standin.fleet import PORTS, Process
 from standin.narrow_link import NarrowLink
 
 
-class Holder:
+class HoldingTarget:
     """A target that holds all keys."""
 
     is_up = True
-    left_s = None
+    drain_end_s = None
     zone = "z"
     born_ms = 1
 
@@ -33,95 +33,95 @@
         return True
 
 
-def asked(status, is_safe=False):
+def caller_request(status, is_safe=False):
     now = time.monotonic()
-    return Asked("a", None, is_safe, now, now + 2.0, now, status, b"a")
+    return CallerRequest("a", None, is_safe, now, now + 2.0, now, status, b"a")
 
 
-def test_the_same_seed_draws_the_same_faults():
-    assert draw(5, 10.0) == draw(5, 10.0)
-    assert draw(5, 10.0) != draw(6, 10.0)
+def test_same_seed_gives_the_same_faults():
+    assert draw_faults(5, 10.0) == draw_faults(5, 10.0)
+    assert draw_faults(5, 10.0) != draw_faults(6, 10.0)
 
 
-def test_a_booking_that_runs_twice_is_noticed():
+def test_double_execution_of_a_booking_is_detected():
     records = Records()
     for name in ("one", "two"):
-        records.begun(Holder(name), "a", None)
-    records.ended(asked(200))
+        records.check_start(HoldingTarget(name), "a", None)
+    records.ended(caller_request(200))
     records.check_end()
-    assert any("at most once" in each for each in records.broken)
+    assert any("at most once" in each for each in records.violations)
 
 
-def test_a_refusal_of_what_ran_is_noticed():
+def test_refusal_of_an_executed_request_is_detected():
     records = Records()
-    records.begun(Holder("one"), "a", None)
-    records.ended(asked(503))
+    records.check_start(HoldingTarget("one"), "a", None)
+    records.ended(caller_request(503))
     records.check_end()
-    assert any("not run" in each for each in records.broken)
+    assert any("not run" in each for each in records.violations)
 
 
-def test_two_owners_are_noticed():
+def test_two_owners_of_a_key_are_detected():
     records = Records()
-    records.targets = [Holder("one"), Holder("two")]
-    records.begun(records.targets[0], "a", 7)
-    assert any("one owner" in each for each in records.broken)
+    records.targets = [HoldingTarget("one"), HoldingTarget("two")]
+    records.check_start(records.targets[0], "a", 7)
+    assert any("one owner" in each for each in records.violations)
 
 
 @pytest.mark.parametrize("fence", [1, 2])
-def test_a_token_that_does_not_rise_is_noticed(fence):
+def test_fencing_token_that_does_not_increase_is_detected(fence):
     records = Records()
-    records.told(Holder("one"), [[0, 65535, 2, ""]])
-    records.told(Holder("two"), [[0, 65535, fence, ""]])
-    assert any("fences" in each for each in records.broken)
+    records.check_fences(HoldingTarget("one"), [[0, 65535, 2, ""]])
+    records.check_fences(HoldingTarget("two"), [[0, 65535, fence, ""]])
+    assert any("fences" in each for each in records.violations)
 
 
-def test_what_runs_after_a_leave_or_in_a_zone_that_is_out_is_noticed():
+def test_request_after_drain_or_in_evacuated_zone_is_detected():
     records = Records()
-    left = Holder("one")
-    left.left_s = time.monotonic() - 1.0
-    records.begun(left, "a", None)
+    drained = HoldingTarget("one")
+    drained.drain_end_s = time.monotonic() - 1.0
+    records.check_start(drained, "a", None)
     records.zone_out_since_s["z"] = time.monotonic() - 10.0
-    records.begun(Holder("two"), "b", None)
-    assert any("drain" in each for each in records.broken)
-    assert any("zone out" in each for each in records.broken)
+    records.check_start(HoldingTarget("two"), "b", None)
+    assert any("drain" in each for each in records.violations)
+    assert any("zone out" in each for each in records.violations)
 
 
-def test_a_configuration_that_goes_back_is_noticed():
+def test_reverted_configuration_is_detected():
     records = Records()
     records.accepted(5)
     records.read(4, records.newest_accepted)
-    assert any("never reverts" in each for each in records.broken)
+    assert any("never reverts" in each for each in records.violations)
 
 
 @pytest.mark.parametrize(
-    ("late_s", "stood_s", "is_held"),
+    ("late_s", "stall_s", "is_held"),
     [(0.9, 0.0, False), (1.1, 0.0, True), (3.5, 3.0, False), (4.1, 3.0, True)],
 )
-def test_an_answer_that_nobody_read_is_not_said_to_be_held(late_s, stood_s, is_held):
-    # Guards against: a soak that stands still itself and blames the fleet for it.
+def test_event_loop_stall_does_not_count_as_late_response(late_s, stall_s, is_held):
+    # A stall of the soak's own event loop must not count as lateness of the fleet.
     records = Records()
-    one = asked(502, is_safe=True)
-    one.ended_s = one.deadline_s + late_s
-    records.ended(one)
-    records.stalls.append((one.deadline_s - 1.0, one.deadline_s + stood_s))
+    request = caller_request(502, is_safe=True)
+    request.ended_s = request.deadline_s + late_s
+    records.ended(request)
+    records.stalls.append((request.deadline_s - 1.0, request.deadline_s + stall_s))
     records.check_end()
-    assert any("held" in each for each in records.broken) is is_held
+    assert any("held" in each for each in records.violations) is is_held
 
 
-def test_a_net_in_which_a_former_soaks_process_listens_is_left_alone():
-    # Guards against: a soak that was killed, whose processes fail every later one.
+def test_net_with_a_listening_process_is_in_use():
+    # Processes of a killed soak keep listening; later runs in their net would fail.
     assert not is_in_use(98)
     with socket.create_server(("127.98.2.3", PORTS["callers"])):
         assert is_in_use(98)
 
 
-def test_a_proxy_that_never_started_can_be_stopped():
-    # Guards against: a run that reports this in place of why it didn't start.
+def test_proxy_can_be_stopped_before_its_start():
+    # Otherwise a run that fails at its start reports an error of stop instead.
     asyncio.run(Proxy(("127.99.0.1", 18002), ("127.99.0.1", 18001)).stop())
 
 
-def test_a_task_that_misses_its_cancellation_still_ends():
-    # Guards against: a soak that never ends, as its operator goes on for ever.
+def test_task_that_loses_a_cancellation_still_ends():
+    # A task can lose a cancellation; cancelled only once, it would never end.
     async def miss_one():
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(60.0)
@@ -137,7 +137,7 @@
     asyncio.run(main())
 
 
-def test_a_silenced_way_loses_answers_only():
+def test_silenced_back_direction_drops_responses_only():
     async def run():
         got = []
 
@@ -150,13 +150,13 @@
         await proxy.start()
         try:
             reader, writer = await asyncio.open_connection(*proxy.address)
-            proxy.silent = frozenset((Way.BACK,))
+            proxy.silenced_directions = frozenset((Direction.BACK,))
             writer.write(b"hi")
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.3):
                     await reader.readexactly(2)
             assert got == [b"hi"]
-            proxy.heal()
+            proxy.clear_faults()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await reader.readexactly(2)
         finally:
@@ -170,10 +170,8 @@
     ("action", "taken"),
     [(signal.SIG_DFL, False), (signal.SIG_IGN, True), (lambda *_: None, True)],
 )
-def test_a_program_that_has_not_begun_is_not_said_to_take_a_signal(
-    tmp_path, action, taken
-):
-    # Guards against: a daemon that is still starting is ended by the soak's own signal.
+def test_signal_is_not_taken_before_a_handler_is_installed(tmp_path, action, taken):
+    # The soak must not send SIGHUP to a daemon that hasn't installed a handler yet.
     process = Process("daemon", "d", "", tmp_path)
     process._process = types.SimpleNamespace(pid=os.getpid())
     before = signal.signal(signal.SIGHUP, action)
@@ -183,26 +181,26 @@
         signal.signal(signal.SIGHUP, before)
 
 
-def test_runs_that_once_failed_and_a_short_one_pass():
-    # The full soak is run by hand, with many fresh seeds.
+def test_regression_seeds_and_a_short_run_pass():
+    # The full soak is run manually with many new seeds.
     assert main(seeds=1, first=11, seconds=12.0, jobs=4, regressions=True) == 0
 
 
-def test_a_body_that_did_not_come_whole_is_noticed():
+def test_truncated_body_is_detected():
     records = Records()
-    records.begun(Holder("one"), "a", None)
-    one = asked(200)
-    one.sent = b"ab" * 10_000
-    one.body = b"i-one /shared/a " + one.sent[:-1]
-    records.ended(one)
-    assert any("whole bodies" in each for each in records.broken)
+    records.check_start(HoldingTarget("one"), "a", None)
+    request = caller_request(200)
+    request.sent = b"ab" * 10_000
+    request.body = b"i-one /shared/a " + request.sent[:-1]
+    records.ended(request)
+    assert any("whole bodies" in each for each in records.violations)
 
 
-def test_a_narrow_link_holds_up_what_comes_behind_other_bytes():
-    async def pass_on():
+def test_narrow_link_delays_bytes_behind_earlier_ones():
+    async def measure_s():
         link = NarrowLink(100_000.0)
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         await asyncio.gather(link.carry(20_000), link.carry(1))
-        return time.monotonic() - began_s
+        return time.monotonic() - started_s
 
-    assert asyncio.run(pass_on()) >= 0.2
+    assert asyncio.run(measure_s()) >= 0.2
