--- a/scripts/build_dist.py
+++ b/scripts/build_dist.py
@@ -1,4 +1,4 @@
-"""Build dist/tamarackhaven, one zipapp with all dependencies."""
+"""Builds dist/tamarackhaven, a zipapp that contains all dependencies."""
 
 import shutil
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def main():
-    """Install the pinned packages and this one into a folder; shiv zips it."""
+    """Install the pinned packages and tamarackhaven into a folder; zip it by shiv."""
     OUTPUT.parent.mkdir(exist_ok=True)
     with tempfile.TemporaryDirectory() as site:
         pip = [sys.executable, "-m", "pip", "install", "--quiet", "--no-deps"]
@@ -26,19 +26,19 @@
         shiv = [sys.executable, "-m", "shiv", "--site-packages", site]
         shiv += ["--entry-point", "tamarackhaven.__main__:main"]
         shiv += ["--python", "/usr/bin/env python3", "--reproducible"]
-        built = Path(site).parent / f"{Path(site).name}.pyz"
-        subprocess.run([*shiv, "--output-file", built], check=True)
-        put_main(built)
-        built.unlink()
+        shiv_zipapp = Path(site).parent / f"{Path(site).name}.pyz"
+        subprocess.run([*shiv, "--output-file", shiv_zipapp], check=True)
+        write_with_main(shiv_zipapp)
+        shiv_zipapp.unlink()
 
 
-def put_main(built):
-    """Copy the zipapp with ``zipapp_main.py`` as its first module."""
+def write_with_main(shiv_zipapp):
+    """Copy the zipapp to ``OUTPUT`` with ``zipapp_main.py`` as its ``__main__.py``."""
     partial = OUTPUT.with_suffix(".partial")
     with open(partial, "wb") as file:
         file.write(b"#!/usr/bin/env python3\n")
         with (
-            zipfile.ZipFile(built) as source,
+            zipfile.ZipFile(shiv_zipapp) as source,
             zipfile.ZipFile(file, "a", zipfile.ZIP_DEFLATED) as target,
         ):
             for item in source.infolist():
--- a/scripts/zipapp_main.py
+++ b/scripts/zipapp_main.py
@@ -1,7 +1,7 @@
-"""First module of the zipapp: chooses where the program unpacks itself.
+"""The ``__main__`` module of the zipapp: selects the folder to unpack it to.
 
-Files of a process live under its data folder only, so this reads ``data_folder`` from
-the settings file that the command line names, before anything is unpacked.
+A process writes files only to its data folder, so this module reads ``data_folder``
+from the settings file given on the command line before shiv unpacks the zipapp.
 """
 
 import os
@@ -12,26 +12,26 @@
 
 import _bootstrap
 
-FLAGS = ("--settings", "-s")
+SETTINGS_OPTIONS = ("--settings", "-s")
 
 
 def settings_path(arguments):
-    """Return the settings file that the command line names, or None."""
-    for place, argument in enumerate(arguments):
-        if argument in FLAGS and place + 1 < len(arguments):
-            return arguments[place + 1]
+    """Return the path of the settings file given in ``arguments``, or None."""
+    for index, argument in enumerate(arguments):
+        if argument in SETTINGS_OPTIONS and index + 1 < len(arguments):
+            return arguments[index + 1]
         if argument.startswith("--settings="):
             return argument.partition("=")[2]
     return None
 
 
 def data_folder(path):
-    """Return the data folder that the file names, or None if it can't be read."""
+    """Return the data folder set in a settings file, or None if it can't be read."""
     try:
         with open(path, "rb") as file:
             folder = tomllib.load(file).get("data_folder")
     except (OSError, ValueError, TypeError):
-        # The program itself reads the file again and says what is wrong with it.
+        # The program reads the file again and reports the error.
         return None
     return folder if isinstance(folder, str) and folder else None
 
--- a/standin/load.py
+++ b/standin/load.py
@@ -11,10 +11,10 @@
 
 from tamarackhaven.errors import ErrorKind
 
-TIMEOUT_S = 5.0
+SOCKET_TIMEOUT_S = 5.0
 DEADLINE_MS = 2000
 MAX_BOOKING_ATTEMPTS = 40
-LOOKUP_TRIES = 1
+MAX_LOOKUP_ATTEMPTS = 1
 NOT_CONNECTED = "not connected"
 NO_ANSWER = "no answer"
 ERROR_CODES = {kind.value for kind in ErrorKind}
@@ -54,7 +54,9 @@
     """
     is_own_connection = connection is None
     if is_own_connection:
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
+        connection = http.client.HTTPConnection(
+            "127.0.0.1", port, timeout=SOCKET_TIMEOUT_S
+        )
     try:
         if connection.sock is None:
             connection.connect()
