--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -103,7 +103,7 @@
 def report(cluster, lookups, bookings, outages_s):
     """Print the report and return the exit code.
 
-    It is 1 if a booking was lost or doubled, or none was acknowledged.
+    It is 1 if a booking was lost or doubled, or none was acknowledged; otherwise 0.
     """
     for title, load in (("tracking", lookups), ("booking", bookings)):
         total = sum(load.answers.values())
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -239,7 +239,7 @@
 async def _(fault: ReloadSettings, fleet):
     daemon = fleet.daemons[fault.selector % len(fleet.daemons)]
     # Until the program has installed a handler, SIGHUP kills the process.
-    if not fleet.is_taken(daemon) and daemon.takes(signal.SIGHUP):
+    if not fleet.is_taken(daemon) and daemon.survives_signal(signal.SIGHUP):
         daemon.send(signal.SIGHUP)
 
 
--- a/soak/_fleet.py
+++ b/soak/_fleet.py
@@ -104,7 +104,7 @@
 
     @contextlib.asynccontextmanager
     async def taken(self, part):
-        """Reserve a process, VM or zone; other faults wait until it is released."""
+        """Reserve a process, target VM or zone; other faults wait for its release."""
         while part in self._taken:
             await asyncio.sleep(0.05)
         self._taken.add(part)
--- a/soak/_load.py
+++ b/soak/_load.py
@@ -165,8 +165,8 @@
         """Send two changes of the same version at once; at most one may be accepted."""
         base = self._base
         first, second = self._next_version(), self._next_version()
-        taken = await asyncio.gather(self._change(first), self._change(second))
-        if all(taken):
+        are_accepted = await asyncio.gather(self._change(first), self._change(second))
+        if all(are_accepted):
             self._fleet.records.report_violation("one wins", f"two changes on r{base}")
 
     async def _refresh_version(self):
--- a/soak/_records.py
+++ b/soak/_records.py
@@ -9,8 +9,9 @@
 
 # Statuses from which a caller concludes that its request wasn't executed.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
-# Tolerance for requests that start after the drain time of a target or the evacuation
-# time of a zone; covers delays of the simulated targets' event loop.
+# Tolerance for requests that start after the drain time that follows an acknowledged
+# leave, or after the evacuation time of a zone; covers short delays of the simulated
+# targets' event loop.
 TIMING_TOLERANCE_S = 0.3
 # Shorter stalls of the run's event loop are covered by the tolerance.
 MIN_STALL_S = 0.25
--- a/soak/_target.py
+++ b/soak/_target.py
@@ -8,7 +8,7 @@
 
 # Simulates the slowest clock allowed for a target, by which its holds last longer.
 HOLD_TIME_FACTOR = 1.02
-# A draining target sends its goodbye after this time, and stops after it once more.
+# Time from the start of draining to the leave request, and from there to the stop.
 DRAIN_DURATION_S = 1.5
 
 
@@ -35,12 +35,12 @@
         self._records.targets.append(self)
 
     async def crash(self):
-        """Stop at once, without a goodbye."""
+        """Stop at once, without a leave request."""
         self.is_up = False
         await self.stop()
 
     async def leave(self):
-        """Drain, send a goodbye and stop."""
+        """Drain, send a leave request and stop."""
         self.state = "draining"
         await asyncio.sleep(DRAIN_DURATION_S + HEARTBEAT_S)
         await self._post("leave", {}, time.monotonic())
--- a/standin/cluster.py
+++ b/standin/cluster.py
@@ -1,4 +1,4 @@
-"""Runs a whole deployment as real processes on the loopback interface.
+"""Runs a complete deployment as real processes on the loopback interface.
 
 Used by the demo, the failure tests and the benches. It kills only the processes that
 it started, by their process ids.
@@ -69,18 +69,18 @@
         return port
 
 
-def wait_until(condition, timeout_s, what):
+def wait_until(condition, timeout_s, condition_text):
     """Wait until ``condition()`` is true.
 
     Raises
     ------
     TimeoutError
-        If it isn't true after ``timeout_s`` seconds; the text contains ``what``.
+        If it isn't true after ``timeout_s`` seconds.
     """
     deadline_s = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline_s:
-            raise TimeoutError(f"timed out after {timeout_s} s: {what}")
+            raise TimeoutError(f"timed out after {timeout_s} s: {condition_text}")
         time.sleep(0.02)
 
 
@@ -164,8 +164,8 @@
         self.ports_by_name[name] = ports
         text = f'service = "{spec.service}"\ntarget = "{spec.name}"\n'
         text += f'zone = "{spec.zone}"\n{self._data_folder("d-" + name)}'
-        for part in ("caller", "peer", "announce", "metrics"):
-            text += _listen(part, getattr(ports, part))
+        for endpoint in ("caller", "peer", "announce", "metrics"):
+            text += _listen(endpoint, getattr(ports, endpoint))
         text += _listen("target_address", ports.target) + self._control_rows
         text += self.extra.get("daemon", "") + '\n[logs]\nfile = "log"\n'
         self._settings_path(f"d-{name}").write_text(text)
@@ -194,10 +194,12 @@
             self.start_daemon(name)
         wait_until(self.all_owned, START_S, "every shard has an owner")
 
-    def start_control(self, name, *words):
+    def start_control(self, name, *arguments):
         """Start one control VM."""
         settings = str(self._settings_path(name))
-        self._start(name, [*self.program, "control", "--settings", settings, *words])
+        self._start(
+            name, [*self.program, "control", "--settings", settings, *arguments]
+        )
 
     def start_daemon(self, name):
         """Start the daemon of one target."""
@@ -249,11 +251,11 @@
         for process in running:
             process.wait(STOP_S)
 
-    def command(self, *words, check=True):
+    def command(self, *arguments, check=True):
         """Run one operator command and return the completed process."""
         settings = ["--settings", str(self._settings_path("operator"))]
         return subprocess.run(
-            [*self.program, *words, *settings],
+            [*self.program, *arguments, *settings],
             cwd=ROOT,
             check=check,
             capture_output=True,
@@ -261,11 +263,11 @@
             timeout=60,
         )
 
-    def apply(self, resources, *words):
+    def apply(self, resources, *arguments):
         """Apply resources given as TOML text; return the completed process."""
         path = self.folder / "resources.toml"
         path.write_text(resources)
-        return self.command("apply", str(path), *words)
+        return self.command("apply", str(path), *arguments)
 
     def records(self, kind):
         """Return the current records of one kind, as dicts."""
@@ -296,8 +298,8 @@
         rows = []
         for path in self.folder.glob("journal-*"):
             # A target killed while it writes leaves an incomplete last line: skip it.
-            whole = path.read_text().rpartition("\n")[0]
-            rows += [json.loads(line) for line in whole.splitlines()]
+            complete_lines = path.read_text().rpartition("\n")[0]
+            rows += [json.loads(line) for line in complete_lines.splitlines()]
         return rows
 
     def resident_mb(self, name):
--- a/standin/fleet.py
+++ b/standin/fleet.py
@@ -124,7 +124,7 @@
         self._heartbeats = asyncio.create_task(self._send_heartbeats_forever())
 
     async def stop(self):
-        """Simulate a crash: send no goodbye and drop all holds."""
+        """Simulate a crash: send no leave request and drop all holds."""
         self.held_by_range = {}
         if self._server is None:
             return
@@ -169,16 +169,17 @@
         }
         return await self._post("heartbeat", document, sent_s)
 
-    async def _post(self, what, document, sent_s):
-        """Send a heartbeat or a goodbye; return whether another one is due soon.
+    async def _post(self, action, document, sent_s):
+        """Send a heartbeat or leave request; return whether holds were released.
 
+        If so, the next heartbeat is due soon, to report the release.
         ``sent_s`` is the ``time.monotonic()`` of sending, in seconds.
         """
         answer = await call(
             self.host,
             PORTS["operators"],
             "POST",
-            f"/api/instances/{self.name}/{what}",
+            f"/api/instances/{self.name}/{action}",
             [("Host", "x")],
             json.dumps(document).encode(),
             1.0,
--- a/standin/load.py
+++ b/standin/load.py
@@ -99,7 +99,7 @@
         Service that receives the requests.
     keys : list of str
         Keys to choose from.
-    booking_part : float
+    booking_fraction : float
         Fraction of requests that are bookings, 0 to 1.
     callers : int
         Number of threads.
@@ -109,11 +109,13 @@
         Seed of the random choices.
     """
 
-    def __init__(self, ports, service, keys, booking_part, callers, pause_s, seed=1):
+    def __init__(
+        self, ports, service, keys, booking_fraction, callers, pause_s, seed=1
+    ):
         self._ports = ports
         self._service = service
         self._keys = keys
-        self._booking_part = booking_part
+        self._booking_fraction = booking_fraction
         self._pause_s = pause_s
         self._stopping = threading.Event()
         self._lock = threading.Lock()
@@ -142,7 +144,7 @@
     def _run(self, seed):
         rng = random.Random(seed)
         while not self._stopping.is_set():
-            if rng.random() < self._booking_part:
+            if rng.random() < self._booking_fraction:
                 self._book(rng)
             else:
                 self._count_response(self._send(rng, rng.choice(self._keys)))
--- a/standin/process.py
+++ b/standin/process.py
@@ -91,7 +91,7 @@
             f" {self.processor_s} s of CPU time"
         )
 
-    def takes(self, number):
+    def survives_signal(self, number):
         """Whether the process ignores or handles a signal, so that it survives it."""
         path = Path(f"/proc/{self._process.pid}/status")
         fields = dict(line.split(":", 1) for line in path.read_text().splitlines())
--- a/standin/simulated_link.py
+++ b/standin/simulated_link.py
@@ -72,10 +72,10 @@
     def _deliver(self, part):
         # Parts in flight still arrive after their body was dropped.
         is_wanted = self.arrivals.left_of(part.key) > 0
-        came = self.arrivals.came(part.key, part.offset, part.count, self.now)
-        assert came is is_wanted
-        if came:
+        is_used = self.arrivals.came(part.key, part.offset, part.count, self.now)
+        assert is_used is is_wanted
+        if is_used:
             self.came_bytes += part.count
-        if came and not self.arrivals.left_of(part.key):
+        if is_used and not self.arrivals.left_of(part.key):
             self.whole_s_by_key[part.key] = self.now
             self.arrivals.drop(part.key)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -167,16 +167,16 @@
 
 
 @pytest.mark.parametrize(
-    ("action", "taken"),
+    ("action", "is_survived"),
     [(signal.SIG_DFL, False), (signal.SIG_IGN, True), (lambda *_: None, True)],
 )
-def test_signal_is_not_taken_before_a_handler_is_installed(tmp_path, action, taken):
+def test_signal_is_fatal_until_a_handler_is_installed(tmp_path, action, is_survived):
     # The soak must not send SIGHUP to a daemon that hasn't installed a handler yet.
     process = Process("daemon", "d", "", tmp_path)
     process._process = types.SimpleNamespace(pid=os.getpid())
     before = signal.signal(signal.SIGHUP, action)
     try:
-        assert process.takes(signal.SIGHUP) is taken
+        assert process.survives_signal(signal.SIGHUP) is is_survived
     finally:
         signal.signal(signal.SIGHUP, before)
 
