--- a/benches/_model_daemons.py
+++ b/benches/_model_daemons.py
@@ -1,9 +1,9 @@
-"""The daemons of the model: one with the gate and ledger, and the naive ones."""
+"""Modelled daemons: one with the gate and the ledger, and simpler ones to compare."""
 
 import collections
 
 import attrs
-from _model_target import CONNECTIONS
+from _model_target import MAX_CONNECTIONS
 
 from tamarackhaven._gate import Gate
 from tamarackhaven._gate_messages import Admit, End, Finish, Offer, Refuse
@@ -24,36 +24,36 @@
     End.UNREACHABLE: ErrorKind.TARGET_UNREACHABLE,
     End.FAILED: ErrorKind.TARGET_SENT_NOTHING,
 }
-REPORT_EVERY_S = 0.5
-REPORT_LAG_S = 1.0
+REPORT_INTERVAL_S = 0.5
+REPORT_DELAY_S = 1.0
 BOOKING_WINDOW_S = 600.0
-FIXED_QUEUE = 64
+MAX_FIXED_QUEUE = 64
 
 
 class NaiveDaemon:
-    """First in, first out, behind a fixed number of requests at once.
+    """A first-in, first-out queue before a fixed concurrency limit.
 
     Parameters
     ----------
     limit : int
-        Requests at the target at once.
+        Maximum number of requests that run at the target.
     queue : float
-        Most that wait; infinite for no bound.
+        Maximum number of waiting requests; infinite for no limit.
     """
 
     def __init__(self, sim, target, limit, queue):
         self.target = target
         self._sim = sim
         self._limit = limit
-        self._queue_max = queue
+        self._max_queued = queue
         self._queue = collections.deque()
         self._running = 0
 
-    def take(self, request, shard, reply):
-        """Take one try; call ``reply(kind, retry_after_s)`` once."""
+    def handle(self, request, shard, reply):
+        """Handle one try; call ``reply(kind, retry_after_s)`` once."""
         if self._running < self._limit:
             self._start(request, reply)
-        elif len(self._queue) < self._queue_max:
+        elif len(self._queue) < self._max_queued:
             self._queue.append((request, reply))
         else:
             reply(ErrorKind.QUEUE_FULL, 0.0)
@@ -78,7 +78,7 @@
 
 
 class GatedDaemon:
-    """The gate and the ledger as a real daemon drives them."""
+    """Drives the gate and the ledger as a real daemon does."""
 
     def __init__(self, sim, target, warm):
         self.target = target
@@ -90,16 +90,19 @@
         self.grant_by_shard = {}
         self._try_by_id = {}
         self._tries = 0
-        self._tick_at = float("inf")
-        sim.after(REPORT_EVERY_S, self._read_report)
+        self._next_tick_s = float("inf")
+        sim.after(REPORT_INTERVAL_S, self._read_report)
 
     def own(self, shard, grant, since_s):
-        """Begin to own a shard that nobody handed over."""
+        """Start to own a shard that no former owner handed over."""
         self.grant_by_shard[shard] = grant
         self.ledger.adopt("s", shard, grant, since_s)
 
     def inherit(self, shard, grant, part):
-        """Begin to own a shard with the former owner's part of the ledger."""
+        """Start to own a shard with the former owner's part of the ledger.
+
+        Without that part, the shard counts as owned since now.
+        """
         self.grant_by_shard[shard] = grant
         previous_grant = grant - 1
         if part is None:
@@ -108,30 +111,30 @@
             self.ledger.import_(part, grant, previous_grant, self._sim.now)
 
     def release(self, shard):
-        """Cease to own a shard; return its part of the ledger."""
+        """Stop owning a shard; return its part of the ledger."""
         part = self.ledger.export("s", shard)
         self.ledger.drop("s", shard)
         self.grant_by_shard.pop(shard, None)
         return part
 
     def _read_report(self):
-        if self.target.up:
-            self._sim.after(REPORT_LAG_S, self._report, self.target.report())
-        self._sim.after(REPORT_EVERY_S, self._read_report)
+        if self.target.is_up:
+            self._sim.after(REPORT_DELAY_S, self._report, self.target.report())
+        self._sim.after(REPORT_INTERVAL_S, self._read_report)
 
     def _report(self, report):
-        late = attrs.evolve(report, age_s=REPORT_LAG_S)
-        self.gate.report(late, self._sim.now)
+        aged = attrs.evolve(report, age_s=REPORT_DELAY_S)
+        self.gate.report(aged, self._sim.now)
         self._plan_tick()
 
-    def take(self, request, shard, reply):
-        """Take one try; call ``reply(kind, retry_after_s)`` once."""
+    def handle(self, request, shard, reply):
+        """Handle one try; call ``reply(kind, retry_after_s)`` once."""
         grant = self.grant_by_shard.get(shard)
         if grant is None:
             reply(ErrorKind.NOT_OWNER, 0.05)
             return
         token = None
-        if request.booking:
+        if request.is_booking:
             decision = self.ledger.begin(self._booking(request, shard, grant), self.now)
             if not isinstance(decision, Run):
                 kind = None if isinstance(decision, Replay) else decision.kind
@@ -142,12 +145,12 @@
         item = _Try(request, reply, token)
         self._try_by_id[str(self._tries)] = item
         offer = Offer(str(self._tries), request.key, request.caller, request.deadline_s)
-        self._act(self.gate.offer(offer, self.now))
+        self._apply(self.gate.offer(offer, self.now))
         self._plan_tick()
 
     @property
     def now(self):
-        """Simulated time."""
+        """Simulated time, in seconds."""
         return self._sim.now
 
     def _booking(self, request, shard, grant):
@@ -161,7 +164,7 @@
             BOOKING_WINDOW_S,
         )
 
-    def _act(self, decision):
+    def _apply(self, decision):
         item = self._try_by_id[decision.request_id]
         if isinstance(decision, Admit):
             self._start(decision.request_id, item)
@@ -175,16 +178,16 @@
             item.request, lambda end, s: self._finish(try_id, item, end, s)
         )
         left_s = item.request.deadline_s - self.now
-        self._sim.after(left_s, self._give_up, try_id, item)
+        self._sim.after(left_s, self._time_out, try_id, item)
 
-    def _give_up(self, try_id, item):
-        """Let go at the deadline; the target runs on and is not waited for."""
+    def _time_out(self, try_id, item):
+        """Answer with a timeout at the deadline; the target's work goes on."""
         if item.done:
             return
         item.done = True
-        taken_s = self.now - item.request.sent_s
+        elapsed_s = self.now - item.request.sent_s
         item.reply(ErrorKind.ANSWER_TIMEOUT, 0.0)
-        self._tell_gate(try_id, End.GIVEN_UP, taken_s)
+        self._finish_at_gate(try_id, End.GIVEN_UP, elapsed_s)
 
     def _finish(self, try_id, item, end, seconds):
         if end is End.ANSWERED:
@@ -197,7 +200,7 @@
             return
         item.done = True
         item.reply(KIND_BY_END[end], self._retry_after_s(end))
-        self._tell_gate(try_id, end, seconds)
+        self._finish_at_gate(try_id, end, seconds)
 
     def _retry_after_s(self, end):
         return 0.0 if end is End.ANSWERED else 0.1 + 0.1 * self._sim.rng.random()
@@ -206,39 +209,39 @@
         if item.token is not None:
             self.ledger.finish(item.token, end, BookingAnswer(200), self.now)
 
-    def _tell_gate(self, try_id, end, seconds):
+    def _finish_at_gate(self, try_id, end, seconds):
         del self._try_by_id[try_id]
         for decision in self.gate.finish(Finish(try_id, end, seconds), self.now):
-            self._act(decision)
+            self._apply(decision)
         self._plan_tick()
 
     def stop(self, kind):
-        """Refuse all that waits and comes."""
+        """Refuse all waiting and all new requests with ``kind``."""
         for decision in self.gate.stop(kind):
-            self._act(decision)
+            self._apply(decision)
 
     def open(self):
-        """Take work again, cold."""
+        """Admit requests again, with a cold target."""
         self.gate.open(self.now, cold=True)
 
     def _plan_tick(self):
         due = self.gate.next_tick(self.now)
-        if due < self._tick_at:
-            self._tick_at = due
+        if due < self._next_tick_s:
+            self._next_tick_s = due
             self._sim.after(due - self.now, self._tick)
 
     def _tick(self):
-        self._tick_at = float("inf")
+        self._next_tick_s = float("inf")
         for decision in self.gate.tick(self.now):
-            self._act(decision)
+            self._apply(decision)
         self._plan_tick()
 
 
 def unbounded_daemon(sim, target):
-    """Return a daemon with no gate: every connection in use, an endless queue."""
-    return NaiveDaemon(sim, target, CONNECTIONS, float("inf"))
+    """Return a daemon limited only by the connections, with an unlimited queue."""
+    return NaiveDaemon(sim, target, MAX_CONNECTIONS, float("inf"))
 
 
 def fixed_daemon(sim, target):
-    """Return a daemon with a fixed limit and a bounded queue."""
-    return NaiveDaemon(sim, target, target.slots, FIXED_QUEUE)
+    """Return a daemon whose limit is the target's slots, with a bounded queue."""
+    return NaiveDaemon(sim, target, target.slots, MAX_FIXED_QUEUE)
--- a/benches/_model_fleet.py
+++ b/benches/_model_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of one service in the model: targets, daemons, shards, distances."""
+"""The modelled fleet of one service: targets, daemons, shards and delays."""
 
 import attrs
 from _model_daemons import GatedDaemon
@@ -7,33 +7,33 @@
 from tamarackhaven.errors import ErrorKind
 
 SHARDS = 64
-BETWEEN_ZONES_S = 0.0005
-# Time from an operators' change until the shards are elsewhere.
-REASSIGN_S = 0.4
-RETURN_STEPS = 5
-RETURN_STEP_S = 1.0
-LONG_AGO_S = -1000.0
+INTER_ZONE_DELAY_S = 0.0005
+# Time from an operator's change of a zone until its shards have moved.
+REASSIGN_DELAY_S = 0.4
+ZONE_RETURN_STEPS = 5
+ZONE_RETURN_STEP_S = 1.0
+OWNED_SINCE_S = -1000.0
 
 
 @attrs.frozen
 class ServiceShape:
-    """How large one service of a user is."""
+    """Size and caller delay of one service."""
 
     targets: int
     slots: int
     zones: int
-    client_s: float  # one way
+    caller_delay_s: float  # one way, between a caller and a daemon
 
 
 class Fleet:
-    """Targets behind daemons, with a static split of the shards.
+    """Targets behind daemons, with shards assigned in turn at the start.
 
     Parameters
     ----------
     make_daemon : callable
-        Given the simulation and a target.
+        Returns a daemon for a simulation and a target.
     warm : bool
-        Whether the targets have been running for long.
+        Whether the targets are warm at the start.
     """
 
     def __init__(self, sim, shape, make_daemon):
@@ -52,34 +52,34 @@
     def _own(self, shard, owner):
         daemon = self.daemons[owner]
         if isinstance(daemon, GatedDaemon):
-            daemon.own(shard, self._grant, LONG_AGO_S)
+            daemon.own(shard, self._grant, OWNED_SINCE_S)
 
     def deliver(self, request, reply):
-        """Carry a try to the owner's daemon and its reply back."""
+        """Deliver a try to the owner's daemon, and its reply to the caller."""
         shard = request.key % SHARDS
-        asked = self._sim.rng.randrange(self._shape.targets)
-        way_s = self._shape.client_s
-        if asked != self._owner_by_shard[shard]:
-            way_s += BETWEEN_ZONES_S
-        self._sim.after(way_s, self._arrive, request, shard, reply, way_s)
+        entry = self._sim.rng.randrange(self._shape.targets)
+        delay_s = self._shape.caller_delay_s
+        if entry != self._owner_by_shard[shard]:
+            delay_s += INTER_ZONE_DELAY_S
+        self._sim.after(delay_s, self._arrive, request, shard, reply, delay_s)
 
-    def _arrive(self, request, shard, reply, way_s):
-        def back(kind, retry_after_s):
-            self._sim.after(way_s, reply, kind, retry_after_s)
+    def _arrive(self, request, shard, reply, delay_s):
+        def send_back(kind, retry_after_s):
+            self._sim.after(delay_s, reply, kind, retry_after_s)
 
-        self.daemons[self._owner_by_shard[shard]].take(request, shard, back)
+        self.daemons[self._owner_by_shard[shard]].handle(request, shard, send_back)
 
     def zone_out(self, zone):
-        """Take a zone out: stop its gates, then give its shards to the rest."""
+        """Mark a zone as out: stop its gates, then move its shards to other zones."""
         for daemon in self._in_zone(zone):
             if isinstance(daemon, GatedDaemon):
                 daemon.stop(ErrorKind.ZONE_OUT)
-        self._sim.after(REASSIGN_S, self._leave, zone)
+        self._sim.after(REASSIGN_DELAY_S, self._move_shards_away, zone)
 
     def _in_zone(self, zone):
         return [d for d in self.daemons if d.target.zone == zone]
 
-    def _leave(self, zone):
+    def _move_shards_away(self, zone):
         rest = [n for n, t in enumerate(self.targets) if t.zone != zone]
         for shard, owner in enumerate(self._owner_by_shard):
             if self.targets[owner].zone == zone:
@@ -96,20 +96,25 @@
         self.daemons[new].inherit(shard, grant, part)
 
     def zone_in(self, zone):
-        """Bring a zone back with cold targets; gated fleets return in steps."""
+        """Bring a zone back with cold targets.
+
+        Fleets with gates move its shards back in several steps, others all at once.
+        """
         for daemon in self._in_zone(zone):
             daemon.target.turn_cold()
             if isinstance(daemon, GatedDaemon):
                 daemon.open()
-        gated = isinstance(self.daemons[0], GatedDaemon)
-        steps = RETURN_STEPS if gated else 1
+        has_gate = isinstance(self.daemons[0], GatedDaemon)
+        steps = ZONE_RETURN_STEPS if has_gate else 1
         for step in range(steps):
-            self._sim.after(step * RETURN_STEP_S, self._come_back, zone, step, steps)
+            self._sim.after(
+                step * ZONE_RETURN_STEP_S, self._return_shards, zone, step, steps
+            )
 
-    def _come_back(self, zone, step, steps):
+    def _return_shards(self, zone, step, steps):
         for shard in range(SHARDS):
             home = shard % self._shape.targets
-            # Shards of one target differ by the number of targets.
-            nth = shard // self._shape.targets
-            if self.targets[home].zone == zone and nth % steps == step:
+            # The shards of one target are ``targets`` apart.
+            index = shard // self._shape.targets
+            if self.targets[home].zone == zone and index % steps == step:
                 self._move(shard, home)
--- a/benches/_model_run.py
+++ b/benches/_model_run.py
@@ -1,4 +1,4 @@
-"""One run of the model: a scenario, a variant, a service, a seed; and its figures."""
+"""Runs the model for a scenario, a variant, a service and a seed; sums figures."""
 
 import collections
 import random
@@ -9,12 +9,13 @@
 from _model_fleet import Fleet
 from _model_load import Arrivals, CallerRules, Callers, Profile
 
-SETTLE_S = 4.0
+# Time after the last arrival for requests to end; longer than their deadline.
+DRAIN_S = 4.0
 
 
 @attrs.frozen
 class Variant:
-    """A way to run the fleet and to call it."""
+    """A kind of daemon, and the retry rules of its callers."""
 
     name: str
     make_daemon: object
@@ -23,24 +24,24 @@
 
 VARIANTS = (
     Variant("gate", lambda sim, t: GatedDaemon(sim, t, warm=True), CallerRules()),
-    Variant("no gate", unbounded_daemon, CallerRules(refused_wait_s=0.1)),
-    Variant("fixed limit", fixed_daemon, CallerRules(refused_wait_s=0.1)),
+    Variant("no gate", unbounded_daemon, CallerRules(refusal_wait_s=0.1)),
+    Variant("fixed limit", fixed_daemon, CallerRules(refusal_wait_s=0.1)),
     Variant(
         "at-once retries",
         fixed_daemon,
-        CallerRules(refused_wait_s=0.0, try_timeout_s=0.5, max_tries=6),
+        CallerRules(refusal_wait_s=0.0, try_timeout_s=0.5, max_tries=6),
     ),
 )
 
 
 @attrs.frozen
 class Scenario:
-    """A load and what happens meanwhile.
+    """A load, and the faults injected during it.
 
     Parameters
     ----------
     events : tuple
-        Pairs of a time in seconds and a function of the fleet.
+        Pairs of a time in seconds and a function that is called with the fleet.
     """
 
     name: str
@@ -50,7 +51,7 @@
 
 @attrs.define
 class Figures:
-    """What callers and targets saw, added up over services and seeds."""
+    """Outcomes of requests and targets, summed over services and seeds."""
 
     offered: int = 0
     in_time: int = 0
@@ -60,19 +61,19 @@
     failures_by_kind: collections.Counter = attrs.field(factory=collections.Counter)
     refusals_by_kind: collections.Counter = attrs.field(factory=collections.Counter)
     tries: int = 0
-    over_capacity_cold: int = 0
-    falls: int = 0
-    doubled: int = 0
+    cold_overloads: int = 0
+    crashes: int = 0
+    duplicated: int = 0
     lost: int = 0
-    wrong: int = 0
+    wrongly_refused: int = 0
     imbalance: float = 0.0
 
     def add(self, requests, targets):
-        """Add one run."""
+        """Add the requests and targets of one run."""
         for request in requests:
             self._add_request(request)
-        self.over_capacity_cold += sum(t.over_capacity_cold for t in targets)
-        self.falls += sum(t.falls for t in targets)
+        self.cold_overloads += sum(t.cold_overloads for t in targets)
+        self.crashes += sum(t.crashes for t in targets)
         work = [t.work_s for t in targets]
         self.imbalance = max(self.imbalance, max(work) * len(work) / sum(work))
 
@@ -80,31 +81,31 @@
         self.offered += 1
         self.tries += request.tries
         self.in_time += request.in_time
-        self.other_keys += not request.hot
-        self.other_keys_in_time += request.in_time and not request.hot
+        self.other_keys += not request.is_hot
+        self.other_keys_in_time += request.in_time and not request.is_hot
         self.refusals_by_kind.update(k for k in request.replies if k is not None)
         if request.failure is not None:
             self.failures_by_kind[request.failure] += 1
-        self.wrong += request.wrongly_refused
-        if request.booking:
-            self.doubled += request.executions > 1
+        self.wrongly_refused += request.wrongly_refused
+        if request.is_booking:
+            self.duplicated += request.executions > 1
             self.lost += request.in_time and not request.executions
         elif request.in_time:
             self.lookup_s.append(request.answered_s)
 
-    def percentile_ms(self, part):
-        """Return a percentile of the lookups answered in time, in milliseconds."""
+    def percentile_ms(self, fraction):
+        """Return a percentile of the latencies of answered lookups, in milliseconds."""
         ordered = sorted(self.lookup_s)
-        return 1000 * ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return 1000 * ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def run(scenario, variant, shape, seed, figures):
-    """Run once and add to ``figures``."""
+    """Run ``scenario`` once and add its outcomes to ``figures``."""
     sim = Simulation(random.Random(seed))
     fleet = Fleet(sim, shape, variant.make_daemon)
     callers = Callers(sim, fleet, variant.rules)
     Arrivals(sim, callers, scenario.profile, shape.targets * shape.slots)
     for at_s, event in scenario.events:
         sim.after(at_s, event, fleet)
-    sim.run(scenario.profile.seconds + SETTLE_S)
+    sim.run(scenario.profile.seconds + DRAIN_S)
     figures.add(callers.requests, fleet.targets)
--- a/benches/bench_decisions.py
+++ b/benches/bench_decisions.py
@@ -1,6 +1,6 @@
-"""Decisions under load on a model: the gate beside naive versions, as tables.
+"""Compares the gate with simpler admission under load, on a model; prints tables.
 
-Deterministic: the same seeds give the same tables on every machine.
+The model is deterministic: the same seeds give the same tables on every machine.
 """
 
 import argparse
@@ -18,18 +18,18 @@
 
 @attrs.frozen
 class User:
-    """One user's deployment as the brief sizes it: targets of each service."""
+    """The deployment of one user, with the number of targets of each service."""
 
     name: str
     targets: tuple
     slots: int
     zones: int
-    client_s: float
+    caller_delay_s: float
 
     def shapes(self):
         """Return the shape of each service."""
         return [
-            ServiceShape(count, self.slots, self.zones, self.client_s)
+            ServiceShape(count, self.slots, self.zones, self.caller_delay_s)
             for count in self.targets
         ]
 
@@ -44,25 +44,25 @@
     fleet.targets[0].slowdown = 5.0
 
 
-def _quick(fleet):
+def _restore_speed(fleet):
     fleet.targets[0].slowdown = 1.0
 
 
-def _slow_a_little(fleet):
+def _slow_moderately(fleet):
     fleet.targets[0].slowdown = 2.5
 
 
-def _overrate(fleet):
-    """One target has half of the slots that it declares, and suffers beyond them."""
-    fleet.targets[0].true_slots = fleet.targets[0].slots // 2
-    fleet.targets[0].crowd_power = 2.0
+def _declare_too_many_slots(fleet):
+    """Give one target half of its declared slots, and a steep slowdown above them."""
+    fleet.targets[0].actual_slots = fleet.targets[0].slots // 2
+    fleet.targets[0].overload_exponent = 2.0
 
 
-def _straggle(fleet):
-    """One target after the other is slow for a moment."""
-    turn = fleet.straggles = getattr(fleet, "straggles", -1) + 1
+def _slow_one_after_another(fleet):
+    """Make the next target in turn slow, and all others fast."""
+    index = fleet.straggler_turn = getattr(fleet, "straggler_turn", -1) + 1
     for number, target in enumerate(fleet.targets):
-        target.slowdown = 8.0 if number == turn % len(fleet.targets) else 1.0
+        target.slowdown = 8.0 if number == index % len(fleet.targets) else 1.0
 
 
 def _restart(fleet):
@@ -84,13 +84,15 @@
 SCENARIOS = (
     Scenario("steady 0.7x", Profile(0.7)),
     Scenario("bursts of 3x", Profile(0.5, burst_load=3.0)),
-    Scenario("one hot key", Profile(0.6, hot_part=0.4)),
-    Scenario("one slow target", Profile(0.6), ((1.0, _slow), (2.0, _quick))),
+    Scenario("one hot key", Profile(0.6, hot_fraction=0.4)),
+    Scenario("one slow target", Profile(0.6), ((1.0, _slow), (2.0, _restore_speed))),
     Scenario(
-        "one target 2.5x slow", Profile(0.7), ((1.0, _slow_a_little), (2.0, _quick))
+        "one target 2.5x slow",
+        Profile(0.7),
+        ((1.0, _slow_moderately), (2.0, _restore_speed)),
     ),
-    Scenario("one target overrated", Profile(0.6), ((0.0, _overrate),)),
-    Scenario("long and short", Profile(0.8, long_part=0.3)),
+    Scenario("one target overrated", Profile(0.6), ((0.0, _declare_too_many_slots),)),
+    Scenario("long and short", Profile(0.8, long_fraction=0.3)),
     Scenario("saturation 1x", Profile(1.0)),
     Scenario("saturation 1.5x", Profile(1.5)),
     Scenario("saturation 3x", Profile(3.0, seconds=2.0)),
@@ -104,16 +106,16 @@
 )
 
 CHOICE_SCENARIOS = (
-    Scenario("steady 0.7x", Profile(0.7, booking_part=0.0)),
+    Scenario("steady 0.7x", Profile(0.7, booking_fraction=0.0)),
     Scenario(
         "one straggler",
-        Profile(0.7, booking_part=0.0),
-        ((1.0, _slow), (2.0, _quick)),
+        Profile(0.7, booking_fraction=0.0),
+        ((1.0, _slow), (2.0, _restore_speed)),
     ),
     Scenario(
         "momentary stragglers",
-        Profile(0.5, booking_part=0.0),
-        tuple((0.25 * n, _straggle) for n in range(2, 12)),
+        Profile(0.5, booking_fraction=0.0),
+        tuple((0.25 * n, _slow_one_after_another) for n in range(2, 12)),
     ),
 )
 PLACEMENT_SEEDS = 5
@@ -137,8 +139,8 @@
 )
 
 
-def _percent(part, whole):
-    return f"{100 * part / whole:.1f}%"
+def _percent(count, total):
+    return f"{100 * count / total:.1f}%"
 
 
 def _reasons(figures):
@@ -156,11 +158,11 @@
         f"{figures.percentile_ms(0.99):.0f}",
         f"{figures.percentile_ms(0.999):.0f}",
         f"{figures.tries / figures.offered:.2f}",
-        str(figures.over_capacity_cold),
-        str(figures.falls),
-        str(figures.doubled),
+        str(figures.cold_overloads),
+        str(figures.crashes),
+        str(figures.duplicated),
         str(figures.lost),
-        str(figures.wrong),
+        str(figures.wrongly_refused),
         f"{figures.imbalance:.2f}",
         _reasons(figures),
     )
@@ -216,7 +218,7 @@
 
 
 def main():
-    """Print the tables of each user, of choice and of placement."""
+    """Print the tables of gates and of choice for each user, and of placement."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, nargs="+", default=SEEDS)
     parser.add_argument("--scenario", default="", help="part of a scenario's name")
