--- a/benches/_model_keys.py
+++ b/benches/_model_keys.py
@@ -1,9 +1,9 @@
-"""A service with owned keys under skewed load, on a fake clock.
+"""Simulation of a service with owned keys under skewed load.
 
-The gate, the books of keys, the leader's decisions and the counts of load are the real
-code; targets, callers and the ways between them are played. Targets differ in speed
-and slow down for moments, some keys are far busier than others, and now and then one
-key gets a large part of all requests.
+The gate, the holds of keys, the leader's decisions and the load counters are the real
+code; targets, callers, delays and the clock are simulated. Targets differ in speed and
+slow down for short times, some keys are far busier than others, and from time to time
+one key gets a large part of all requests.
 """
 
 import heapq
@@ -25,59 +25,60 @@
 from tamarackhaven.sidecar._target_state import Heartbeat
 
 SERVICE = "owned"
-REPORT_S = 0.4
-TICK_S = 0.1
-SETTLE_S = 0.05
-HEARTBEAT_S = 0.87
-# Between two daemons, and from a daemon to the control group and back with a quorum.
-HOP_S = 0.002
-CONFIRM_S = 0.1
-COMMIT_S = 0.02
-PATIENCE_PART = 0.5
+REPORT_INTERVAL_S = 0.4
+TICK_INTERVAL_S = 0.1
+SETTLE_INTERVAL_S = 0.05
+HEARTBEAT_INTERVAL_S = 0.87
+# Delays between two daemons, from a daemon to the control group and back with a
+# quorum, and of a commit.
+DAEMON_DELAY_S = 0.002
+CONFIRM_DELAY_S = 0.1
+COMMIT_DELAY_S = 0.02
+MAX_HOLD_BACK_FRACTION = 0.5
 
 
 @attrs.frozen
 class Load:
-    """What callers ask for, and what the targets are like.
+    """The requests that callers send, and the properties of the targets.
 
     Parameters
     ----------
-    per_s : float
-        Requests a second.
-    hot_part : float
-        Part of the requests for one key while it is hot.
-    hot_every_s, hot_for_s : float
-        How often a key becomes hot, and for how long.
+    requests_per_s : float
+        Requests a second of all callers.
+    hot_fraction : float
+        Fraction of the requests that are for the hot key while there is one.
+    hot_interval_s, hot_duration_s : float
+        Interval between two hot keys, and how long each is hot.
     speeds : tuple of float
-        How long work takes at each target, as a part of the usual.
+        Factor on the time of work at each target; larger is slower.
     """
 
-    per_s: float = 203.0
-    hot_part: float = 0.35
-    hot_every_s: float = 8.0
-    hot_for_s: float = 5.0
+    requests_per_s: float = 203.0
+    hot_fraction: float = 0.35
+    hot_interval_s: float = 8.0
+    hot_duration_s: float = 5.0
     speeds: tuple = (0.7, 0.7, 1.6, 0.7, 0.7, 1.6)
     slots: int = 12
     work_s: float = 0.16
     calls: int = 2
-    calls_part: float = 0.7
+    call_probability: float = 0.7
     call_s: float = 0.05
     objective_s: float = 0.5
     deadline_s: float = 1.2
-    late_worth: float = 0.3
+    late_value: float = 0.3
     skew: float = 0.82
-    things: int = 60000
-    slow_part: float = 0.2
-    slow_times: float = 3.0
-    slow_for_s: float = 0.1
+    key_count: int = 60000
+    slow_fraction: float = 0.2
+    slow_factor: float = 3.0
+    slow_duration_s: float = 0.1
 
 
 @attrs.define(eq=False)
 class Request:
-    """One attempt of a caller."""
+    """One try of a caller."""
 
     key: int
-    born_s: float
+    sent_s: float
     arrived_s: float
     tries: int = 1
     number: int = 0
@@ -86,7 +87,7 @@
 
 @attrs.define
 class Tally:
-    """What callers got."""
+    """Numbers of requests by outcome."""
 
     asked: int = 0
     in_time: int = 0
@@ -96,12 +97,15 @@
     refusals_by_kind: dict = attrs.field(factory=dict)
 
     def worth(self, load):
-        """Return the part of the worth that was earned."""
-        return (self.in_time + load.late_worth * self.late) / max(self.asked, 1)
+        """Return the earned value as a fraction of the value of all requests.
 
+        A request in time counts 1, a late one ``late_value``.
+        """
+        return (self.in_time + load.late_value * self.late) / max(self.asked, 1)
 
-class PlayedTarget:
-    """A target with its daemon."""
+
+class SimulatedTarget:
+    """A simulated target and its daemon."""
 
     def __init__(self, world, number, speed):
         self.world = world
@@ -109,7 +113,7 @@
         self.name = f"i{number}"
         self.life = life_of(self.name, 1, f"{self.name}:1")
         self.gate = Gate(world.load.slots, world.random.random)
-        self.keys = CalledHolds(FleetLeaseSettings(HEARTBEAT_S), self.life)
+        self.keys = CalledHolds(FleetLeaseSettings(HEARTBEAT_INTERVAL_S), self.life)
         self.key_load = KeyLoad()
         self.running = {}
         self.waiting = {}
@@ -120,39 +124,43 @@
             self.name, 1, SERVICE, "z", world.load.slots, TargetPhase.READY, 1
         )
         self.keys.heard(beat, world.now)
-        world.later(world.random.uniform(0, REPORT_S), self.report_on)
-        world.later(0.0, self.change_pace)
+        world.later(
+            world.random.uniform(0, REPORT_INTERVAL_S), self.report_periodically
+        )
+        world.later(0.0, self.toggle_slowness)
 
-    # The machine.
+    # Speed of the target.
 
-    def change_pace(self):
-        """Turn slow, or usual again; what runs takes longer from then on."""
+    def toggle_slowness(self):
+        """Become slow, or fast again, and rescale the rest of the running work."""
         load = self.world.load
-        before = self.pace
-        self.is_slow = not self.is_slow and load.slow_part > 0
-        mean_s = load.slow_for_s
+        before = self.work_factor
+        self.is_slow = not self.is_slow and load.slow_fraction > 0
+        mean_s = load.slow_duration_s
         if not self.is_slow:
-            mean_s *= (1 - load.slow_part) / max(load.slow_part, 1e-9)
+            mean_s *= (1 - load.slow_fraction) / max(load.slow_fraction, 1e-9)
         now = self.world.now
         for run in self.running.values():
-            run[1] = now + (run[1] - now) * self.pace / before
+            run[1] = now + (run[1] - now) * self.work_factor / before
             self.world.at(run[1], run[2])
-        self.world.later(self.world.random.expovariate(1 / mean_s), self.change_pace)
+        self.world.later(
+            self.world.random.expovariate(1 / mean_s), self.toggle_slowness
+        )
 
     @property
-    def pace(self):
-        """How long work takes now, as a part of the usual."""
-        return self.speed * (self.world.load.slow_times if self.is_slow else 1.0)
+    def work_factor(self):
+        """Current factor on the time of work; larger is slower."""
+        return self.speed * (self.world.load.slow_factor if self.is_slow else 1.0)
 
     # Reports and calls.
 
-    def report_on(self):
-        """Report again and again."""
+    def report_periodically(self):
+        """Send a report every ``REPORT_INTERVAL_S``."""
         self.report()
-        self.world.later(REPORT_S, self.report_on)
+        self.world.later(REPORT_INTERVAL_S, self.report_periodically)
 
     def report(self):
-        """Send a report, and take the lease that answers it."""
+        """Send a report; the lease that answers it is applied later."""
         world, now = self.world, self.world.now
         rates, rest = self.key_load.rates(now)
         gate = self.gate
@@ -180,20 +188,20 @@
             knows_holds=self.keys.is_known(now),
         )
 
-        def arrive():
+        def on_arrival():
             world.leader.report(report, world.now)
             if report.releases:
                 world.decide()
-            world.later(CONFIRM_S, confirmed)
+            world.later(CONFIRM_DELAY_S, on_confirmed)
 
-        def confirmed():
+        def on_confirmed():
             grant = world.leader.grant(report, world.state, world.now)
-            world.later(HOP_S, lambda: self.take_grant(grant, now))
+            world.later(DAEMON_DELAY_S, lambda: self.take_grant(grant, now))
 
-        world.later(HOP_S, arrive)
+        world.later(DAEMON_DELAY_S, on_arrival)
 
     def take_grant(self, grant, asked_s):
-        """Take a lease, and make the calls that follow from it."""
+        """Apply a lease that was asked for at ``asked_s``, and make the calls due."""
         self.keys.take_grant(grant, asked_s)
         self.make_calls()
 
@@ -203,28 +211,30 @@
             if isinstance(order, ReleaseOrder):
                 self._release(order)
             else:
-                self.world.later(0.002, lambda order=order: self._called(order))
+                self.world.later(0.002, lambda order=order: self._on_call_done(order))
 
-    def _called(self, order):
+    def _on_call_done(self, order):
         self.keys.ended(order, OrderEnd.DONE, self.world.now, "token")
         if isinstance(order, ReleaseOrder):
             self.report()
         self.make_calls()
-        self.world.wake()
+        self.world.route_held_back()
 
     def _release(self, order):
-        """Answer a release when the work on its keys has ended."""
+        """Confirm a release when the running work on its keys has ended."""
         ends = [
             run[1]
             for run in self.running.values()
             if order.first <= run[0].key <= order.last
         ]
-        self.world.at(max([self.world.now + 0.002, *ends]), lambda: self._called(order))
+        self.world.at(
+            max([self.world.now + 0.002, *ends]), lambda: self._on_call_done(order)
+        )
 
     # Requests.
 
     def offer(self, request):
-        """Take a request at the gate."""
+        """Offer a request to the gate."""
         world, load = self.world, self.world.load
         request.number = next(world.numbers)
         offer = Offer(
@@ -243,7 +253,7 @@
             self.carry_out([decision])
 
     def carry_out(self, decisions):
-        """Start or refuse requests that waited."""
+        """Start or refuse waiting requests as the gate decided."""
         for decision in decisions:
             request = self.waiting.pop(decision.number)
             if isinstance(decision, Start):
@@ -264,9 +274,9 @@
             work_s *= 5
         calls_s = 0.0
         for _ in range(load.calls):
-            if world.random.random() < load.calls_part:
+            if world.random.random() < load.call_probability:
                 calls_s += load.call_s * world.random.lognormvariate(0, 0.6)
-        until_s = world.now + work_s * self.pace + calls_s
+        until_s = world.now + work_s * self.work_factor + calls_s
         deadline_s = request.arrived_s + load.deadline_s
 
         def end():
@@ -281,19 +291,19 @@
         world.at(min(until_s, deadline_s), end)
 
     def settle(self):
-        """Ask the gate again."""
+        """Carry out the gate's decisions that became due with time."""
         self.carry_out(self.gate.settle(self.world.now))
 
 
 class World:
-    """All of it, for one seed.
+    """The clock, control group, targets and callers of one simulation.
 
     Parameters
     ----------
     load : Load
-        What is asked for.
+        The requests and the targets.
     seed : int
-        Of everything drawn.
+        Seed of all random numbers.
     """
 
     def __init__(self, load, seed):
@@ -311,51 +321,53 @@
         first = ReplaceConfiguration(0, Configuration(1, (service,)), "first")
         self.state.apply(1, first)
         self._index = 1
-        self.leader = Leadership(1, FleetLeaseSettings(HEARTBEAT_S).lease_s, 0.0)
+        self.leader = Leadership(
+            1, FleetLeaseSettings(HEARTBEAT_INTERVAL_S).lease_s, 0.0
+        )
         speeds = list(load.speeds)
         self.random.shuffle(speeds)
-        self.targets = [PlayedTarget(self, n, s) for n, s in enumerate(speeds)]
-        self._by_life = {each.life: each for each in self.targets}
-        self._view = RangeIndex(self.state.ranges_by_service[SERVICE])
+        self.targets = [SimulatedTarget(self, n, s) for n, s in enumerate(speeds)]
+        self._target_by_life = {each.life: each for each in self.targets}
+        self._ranges_seen = RangeIndex(self.state.ranges_by_service[SERVICE])
         self.moved_keys = 0
-        self._center = self.random.randrange(KEY_COUNT)
+        self._first_key = self.random.randrange(KEY_COUNT)
         self._weights = list(
             itertools.accumulate(
-                1 / (rank + 1) ** load.skew for rank in range(load.things)
+                1 / (rank + 1) ** load.skew for rank in range(load.key_count)
             )
         )
         self._hot_key = None
-        self.later(TICK_S, self._tick)
-        self.later(SETTLE_S, self._settle)
+        self.later(TICK_INTERVAL_S, self._tick)
+        self.later(SETTLE_INTERVAL_S, self._settle)
         self.later(5.0, self._arrive)
-        self.later(8.0, self._heat)
+        self.later(8.0, self._make_key_hot)
 
     # The clock.
 
     def at(self, when_s, action):
-        """Do something at a time."""
+        """Schedule ``action`` at a simulated time."""
         heapq.heappush(self._due, (when_s, next(self._order), action))
 
     def later(self, delay_s, action):
-        """Do something in a while."""
+        """Schedule ``action`` after a delay."""
         self.at(self.now + delay_s, action)
 
     def run(self, until_s):
-        """Let time pass."""
+        """Run all events that are due up to ``until_s``."""
         while self._due and self._due[0][0] <= until_s:
             self.now, _, action = heapq.heappop(self._due)
             action()
 
-    # Control.
+    # Control group.
 
     def _tick(self):
         self.decide()
-        self.later(TICK_S, self._tick)
+        self.later(TICK_INTERVAL_S, self._tick)
 
     def decide(self):
-        """Let the leader decide, and carry its changes out."""
+        """Run a tick of the leader, and commit its commands after a delay."""
         for command in self.leader.tick(self.state, self.now):
-            self.later(COMMIT_S, lambda command=command: self._commit(command))
+            self.later(COMMIT_DELAY_S, lambda command=command: self._commit(command))
 
     def _commit(self, command):
         self._index += 1
@@ -367,48 +379,48 @@
         ranges = self.state.ranges_by_service[SERVICE]
         owners = {each.owner for each in command.ranges}
 
-        def seen():
-            self._view = RangeIndex(ranges)
+        def on_seen():
+            self._ranges_seen = RangeIndex(ranges)
             for life in owners:
-                self._by_life[life].report()
-            self.wake()
+                self._target_by_life[life].report()
+            self.route_held_back()
 
-        self.later(HOP_S, seen)
+        self.later(DAEMON_DELAY_S, on_seen)
 
     def _settle(self):
         for target in self.targets:
             target.settle()
             target.make_calls()
-        self.later(SETTLE_S, self._settle)
+        self.later(SETTLE_INTERVAL_S, self._settle)
 
     # Callers.
 
-    def _heat(self):
+    def _make_key_hot(self):
         self._hot_key = self.random.randrange(KEY_COUNT)
-        self.later(self.load.hot_for_s, self._cool)
-        self.later(self.load.hot_every_s, self._heat)
+        self.later(self.load.hot_duration_s, self._end_hot_key)
+        self.later(self.load.hot_interval_s, self._make_key_hot)
 
-    def _cool(self):
+    def _end_hot_key(self):
         self._hot_key = None
 
     def _arrive(self):
-        self.later(self.random.expovariate(self.load.per_s), self._arrive)
+        self.later(self.random.expovariate(self.load.requests_per_s), self._arrive)
         request = Request(self._draw_key(), self.now, self.now)
         if self.is_measuring:
             self.tally.asked += 1
         self.route(request)
 
     def _draw_key(self):
-        if self._hot_key is not None and self.random.random() < self.load.hot_part:
+        if self._hot_key is not None and self.random.random() < self.load.hot_fraction:
             return self._hot_key
         (rank,) = self.random.choices(
-            range(self.load.things), cum_weights=self._weights
+            range(self.load.key_count), cum_weights=self._weights
         )
-        return (self._center + rank) % KEY_COUNT
+        return (self._first_key + rank) % KEY_COUNT
 
     def route(self, request):
-        """Bring a request to its key's owner, or let it wait for one."""
-        owner = self._by_life.get(self._view.find(request.key).owner)
+        """Offer a request to its key's owner, or hold it back until there is one."""
+        owner = self._target_by_life.get(self._ranges_seen.find(request.key).owner)
         if owner is None:
             self._hold_back(request)
             return
@@ -419,49 +431,54 @@
             self._hold_back(request)
 
     def _hold_back(self, request):
-        patience_s = request.arrived_s + PATIENCE_PART * self.load.deadline_s
-        if self.now >= patience_s:
+        held_back_until_s = (
+            request.arrived_s + MAX_HOLD_BACK_FRACTION * self.load.deadline_s
+        )
+        if self.now >= held_back_until_s:
             self.refuse(request, "MOVING", 0.5)
             return
         if not request.is_held_back:
             request.is_held_back = True
-            self.at(patience_s, self.wake)
+            self.at(held_back_until_s, self.route_held_back)
         self._held_back.append(request)
 
-    def wake(self):
-        """Try the requests again that wait for an owner."""
+    def route_held_back(self):
+        """Route all held-back requests again."""
         held, self._held_back = self._held_back, []
         for request in held:
             self.route(request)
 
     def refuse(self, request, kind, retry_after_s):
-        """Send a caller away; it comes back once."""
+        """Refuse a request; its caller retries once if its deadline allows."""
         kinds = self.tally.refusals_by_kind
         if self.is_measuring:
             kinds[kind] = kinds.get(kind, 0) + 1
-        left_s = request.born_s + self.load.deadline_s - self.now
+        left_s = request.sent_s + self.load.deadline_s - self.now
         if request.tries > 1 or left_s <= 0.01:
             if self.is_measuring:
                 self.tally.refused += 1
             return
-        again = Request(request.key, request.born_s, request.born_s, request.tries + 1)
+        again = Request(request.key, request.sent_s, request.sent_s, request.tries + 1)
         self.later(min(retry_after_s, left_s / 3) + 0.006, lambda: self.route(again))
 
     def answered(self, request, is_success):
-        """Count an answer."""
+        """Count an answer by its time, while measuring."""
         if not self.is_measuring:
             return
-        took_s = self.now - request.born_s + 0.006
-        if not is_success or took_s > self.load.deadline_s:
+        latency_s = self.now - request.sent_s + 0.006
+        if not is_success or latency_s > self.load.deadline_s:
             self.tally.failed += 1
-        elif took_s <= self.load.objective_s:
+        elif latency_s <= self.load.objective_s:
             self.tally.in_time += 1
         else:
             self.tally.late += 1
 
 
-def play(load, seed, seconds=60.0):
-    """Return the ``World`` after a run; figures count from second 8 on."""
+def simulate(load, seed, seconds=60.0):
+    """Return the ``World`` after a run.
+
+    Requests are counted for ``seconds``, from second 8 on.
+    """
     world = World(load, seed)
     world.run(8.0)
     world.is_measuring = True
--- a/benches/bench_shared.py
+++ b/benches/bench_shared.py
@@ -1,8 +1,8 @@
-"""Lookups with one slow target, and at a frozen owner, over real processes.
+"""Measures lookups with one slow target and with a frozen owner, on real processes.
 
-Beside the program run variants without hedges, without choice, and without giving a
-frozen owner up. All run at once and are asked in turn, so a busy machine slows them
-alike; the ratios are the result.
+The program is compared with variants without hedging, without choice among targets, and
+without detection of a frozen owner. With a slow target, all variants run at once and
+are loaded in turn, so that a busy machine slows them equally; compare their ratios.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 """
 EXTRA = {
     "daemon": "\n[gate]\ncold_s = 0.0\ncold_requests = 12\n",
-    # No key is pinned: the keys of a target are those of its shards.
+    # Without pinned keys, the keys of a target are those of its shards.
     "control": "\n[placement]\npin_share = 1.0\n",
 }
 KEYS = [f"k{number}" for number in range(200)]
@@ -46,21 +46,21 @@
 
 
 class SharedCluster(Cluster):
-    """A cluster whose keys nobody owns: it is ready once all targets are known."""
+    """A cluster of a shared service, which is ready once all targets are active."""
 
     def all_owned(self):
-        """Return whether every daemon's target answers and knows the others."""
+        """Return whether all targets are active."""
         rows = self.records("target")
-        known = sum(row["state"] == "active" for row in rows)
-        return known == len(self.spec_by_name)
+        active = sum(row["state"] == "active" for row in rows)
+        return active == len(self.spec_by_name)
 
 
 def program(variant):
-    """Return the command of a variant."""
+    """Return the command line that runs a variant of the program."""
     return [sys.executable, str(ROOT / "benches" / "_variant.py"), variant]
 
 
-def slow_target(folder, rounds, round_s):
+def measure_slow_target(folder, rounds, round_s):
     """Print the percentiles of lookups with one of four targets 20 times as slow."""
     cluster_by_variant = {}
     times, answers = collections.defaultdict(list), {}
@@ -119,8 +119,8 @@
         print(f"{variant:10} daemon resident at most {resident:.1f} MB")
 
 
-def frozen_owner(folder, rounds):
-    """Print how lookups end when their owner's daemon is stopped for a while."""
+def measure_frozen_owner(folder, rounds):
+    """Print the answers to lookups while their owner's daemon is stopped."""
     for variant in ("no-watch", "whole"):
         specs = [TargetSpec("s", f"t{n}", "a", cold_s=0.0) for n in range(3)]
         cluster = Cluster(
@@ -131,14 +131,14 @@
             time.sleep(1.0)
             counts = collections.Counter()
             for number in range(rounds):
-                counts += _freeze(cluster, f"t{number % 3}")
+                counts += _answers_while_frozen(cluster, f"t{number % 3}")
             print(f"{variant:10} lookups of a frozen owner's keys: {dict(counts)}")
         finally:
             cluster.stop()
 
 
-def _freeze(cluster, name):
-    """Stop one daemon for ``FROZEN_S``; return the answers by name meanwhile."""
+def _answers_while_frozen(cluster, name):
+    """Stop one daemon for ``FROZEN_S``; return the answers meanwhile, by kind."""
     rows = cluster.records("shard")
     shards = {row["shard"] for row in rows if row["owner"] == name}
     keys = [key for key in KEYS if shard_of(hash_key("s", key), 16) in shards]
@@ -162,8 +162,8 @@
     parser.add_argument("--round-s", type=float, default=4.0)
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        slow_target(pathlib.Path(folder), arguments.rounds, arguments.round_s)
-        frozen_owner(pathlib.Path(folder), arguments.rounds)
+        measure_slow_target(pathlib.Path(folder), arguments.rounds, arguments.round_s)
+        measure_frozen_owner(pathlib.Path(folder), arguments.rounds)
 
 
 if __name__ == "__main__":
--- a/benches/bench_tick.py
+++ b/benches/bench_tick.py
@@ -1,8 +1,8 @@
-"""Cost of a leader's look at all targets and keys: ``python benches/bench_tick.py``.
+"""Measures the cost of a tick of the leader: ``python benches/bench_tick.py``.
 
-Owners of part of the keys are silent, so that changes are due; the log takes none of
-them, as while a disk stalls. Prints milliseconds of processor time for one look, after
-a number of looks before it.
+Some owners of keys send no reports, so that changes are due, but none is committed, as
+while a disk stalls. Prints the processor time of one tick in milliseconds, after
+different numbers of earlier ticks.
 """
 
 import itertools
@@ -20,22 +20,22 @@
 
 SERVICE = "owned"
 TARGETS = 20
-SILENT = 5
+SILENT_TARGETS = 5
 LEASE_S = 4.0
-RANGES = (100, 1000)
-LOOKS = (0, 10, 1000)
-REPEATS = 5
+RANGE_COUNTS = (100, 1000)
+EARLIER_TICKS = (0, 10, 1000)
+MEASURED_TICKS = 5
 
 
 def target(number):
-    """Return one of the targets."""
+    """Return the target with a number."""
     host = f"10.0.0.{number}"
     life = life_of(f"i{number}", 1, f"{host}:1")
     return Target(life, f"i{number}", 1, SERVICE, "z", host, 1, 8, work_s=0.1)
 
 
-def state_of(ranges):
-    """Return a state with so many ranges, whose owners take turns."""
+def state_with(ranges):
+    """Return a state with ``ranges`` ranges, assigned to the targets in turn."""
     state = FleetState()
     services = (ServiceSpec(SERVICE, sharded=True),)
     state.apply(1, ReplaceConfiguration(0, Configuration(1, services), "1"))
@@ -54,28 +54,28 @@
     return state
 
 
-def cost_ms(ranges, looks):
-    """Return the processor time of one look after ``looks`` others."""
-    state = state_of(ranges)
+def cost_ms(ranges, ticks):
+    """Return the processor time of one tick in milliseconds, after ``ticks`` others."""
+    state = state_with(ranges)
     now = 100.0
     leader = Leadership(1, LEASE_S, now)
     now += 2 * LEASE_S
-    for number in range(SILENT, TARGETS):
+    for number in range(SILENT_TARGETS, TARGETS):
         leader.report(Report(1, target(number)), now)
-    for _ in range(looks):
+    for _ in range(ticks):
         leader.tick(state, now)
     started_s = time.process_time()
-    for _ in range(REPEATS):
+    for _ in range(MEASURED_TICKS):
         leader.tick(state, now)
-    return (time.process_time() - started_s) / REPEATS * 1000
+    return (time.process_time() - started_s) / MEASURED_TICKS * 1000
 
 
 def main():
-    """Print the table."""
-    for ranges in RANGES:
-        for looks in LOOKS:
-            cost = cost_ms(ranges, looks)
-            print(f"{ranges:5} ranges, after {looks:4} looks: {cost:8.2f} ms a look")
+    """Print a line for each number of ranges and of earlier ticks."""
+    for ranges in RANGE_COUNTS:
+        for ticks in EARLIER_TICKS:
+            cost = cost_ms(ranges, ticks)
+            print(f"{ranges:5} ranges, after {ticks:4} looks: {cost:8.2f} ms a look")
 
 
 if __name__ == "__main__":
