--- a/benches/_bench_path.py
+++ b/benches/_bench_path.py
@@ -1,4 +1,4 @@
-"""Makes the package importable when a bench is run as a script."""
+"""Puts the root folder on ``sys.path`` for benches that run as scripts."""
 
 import pathlib
 import sys
--- a/benches/_capacity_model.py
+++ b/benches/_capacity_model.py
@@ -1,4 +1,4 @@
-"""The parts of the capacity bench that run within its own process."""
+"""Capacity measurements of single parts, within the process of the bench."""
 
 import gc
 import socket
@@ -39,18 +39,18 @@
 
 
 def seconds(action, times=3):
-    """Return the shortest processor time of an action, in seconds."""
-    taken = []
+    """Return the shortest processor time of ``times`` runs of an action, in seconds."""
+    durations_s = []
     for _ in range(times):
         gc.collect()
         start = time.process_time()
         action()
-        taken.append(time.process_time() - start)
-    return min(taken)
+        durations_s.append(time.process_time() - start)
+    return min(durations_s)
 
 
-def bytes_kept(make):
-    """Return what ``make`` keeps and its peak while it runs, in bytes."""
+def memory_bytes(make):
+    """Return the size of the result of ``make`` and its peak memory, in bytes."""
     gc.collect()
     tracemalloc.start()
     kept = make()
@@ -61,30 +61,34 @@
 
 
 def slope(points):
-    """Return slope and base of the line through ``points``."""
+    """Return slope and intercept of the regression line through ``points``."""
     return statistics.linear_regression(*zip(*points, strict=True))
 
 
 def table(title, *columns):
-    """Print the head of a Markdown table."""
+    """Print the title and the header row of a Markdown table."""
     print(f"\n**{title}**\n\n| {' | '.join(columns)} |")
     print("|" + "---|" * len(columns))
 
 
 def row(*cells):
-    """Print one row."""
+    """Print a row of a Markdown table."""
     print(f"| {' | '.join(str(cell) for cell in cells)} |", flush=True)
 
 
 def slope_row(name, points, design, unit, scale=1.0):
-    """Print a slope and what it gives at the design size."""
-    per, base = slope(points)
-    at_design = (base + per * design) * scale
-    row(f"slope: {name}", f"{per * scale:.3g} {unit} each", f"{at_design:.3g} {unit}")
+    """Print a slope and its extrapolation to the design size."""
+    per_item, base = slope(points)
+    at_design = (base + per_item * design) * scale
+    row(
+        f"slope: {name}",
+        f"{per_item * scale:.3g} {unit} each",
+        f"{at_design:.3g} {unit}",
+    )
 
 
 def grant_of(shard, targets):
-    """Return the grant of a shard among some targets."""
+    """Return the grant of a shard to target ``shard % targets``."""
     number = shard % targets
     return ShardGrant(
         SERVICE, shard, f"track-{number}", 1000 + number, 90_000 + shard, "", 0, 80_000
@@ -92,12 +96,12 @@
 
 
 def shard_events(count, targets=300):
-    """Return changes of ``count`` shards."""
+    """Return a change event for each of ``count`` shards."""
     return [ShardChanged(100_000, grant_of(shard, targets)) for shard in range(count)]
 
 
 def bench_map_changes():
-    """Print what a change of the map costs a daemon, by shards changed."""
+    """Print sizes and times of a map change at a daemon, by shards changed."""
     table(
         "A change of the map at one daemon, by shards",
         "shards", "bytes", "bytes as JSON", "pack ms", "read ms", "apply ms",
@@ -121,12 +125,12 @@
 
 
 def bench_view_memory():
-    """Print the memory of a daemon's view, and the peak of reading its first feed."""
+    """Print the memory of a daemon's view, and the peak on reading its first feed."""
     table("A daemon's view", "shards", "kept MB", "peak of its first feed, MB")
     kept, peaks = [], []
     for count in (1024, 16_384, DESIGN_SHARDS):
         data = pack(shard_events(count))
-        size, peak = bytes_kept(lambda d=data: _applied(PackedEvents(d)))
+        size, peak = memory_bytes(lambda d=data: _applied(PackedEvents(d)))
         kept.append((count, size))
         peaks.append((count, peak + len(data)))
         row(count, f"{size / MB:.2f}", f"{peaks[-1][1] / MB:.2f}")
@@ -142,14 +146,14 @@
 
 
 def bench_tables():
-    """Print the memory of the ledger of bookings and of the sketch of hot keys."""
+    """Print the memory of the booking ledger and of the hot-key sketch."""
     table("A daemon's tables", "what", "entries", "bytes", "bytes an entry")
     points = []
     for count in (1000, 5000, 20_000):
-        size, _ = bytes_kept(lambda n=count: _ledger(n))
+        size, _ = memory_bytes(lambda n=count: _ledger(n))
         points.append((count, size))
         row("ledger, answers of 200 bytes", count, size, f"{size / count:.0f}")
-    size, _ = bytes_kept(lambda: _sketch(10_000))
+    size, _ = memory_bytes(lambda: _sketch(10_000))
     row("sketch of hot keys, 10,000 keys seen", 256, size, f"{size / 256:.0f}")
     table("Slope of the ledger", "what", "for each entry", "at 20,000 entries")
     slope_row("Ledger", points, 20_000, "MB", 1 / MB)
@@ -180,7 +184,7 @@
 
 
 def bench_fan_out():
-    """Print what hints of one version cost a control VM, by daemons."""
+    """Print the processor time of hinting one version at a control VM, by daemons."""
     table("Hints of one version at a control VM", "daemons", "ms of CPU")
     settings = LeaseSettings()
     server = LeaseServer(
@@ -202,7 +206,7 @@
 
 
 def members_of(count):
-    """Return targets in three zones."""
+    """Return ``count`` targets, spread over three zones."""
     address = Address("10.0.0.1", 7000)
     return [
         TargetMember(
@@ -214,7 +218,7 @@
 
 
 def bench_plan():
-    """Print the leader's time for a plan that finds nothing, and after a zone loss."""
+    """Print the time of a plan without moves, and of one after the loss of a zone."""
     table("A plan of the leader", "shards", "targets", "at rest ms", "zone lost ms")
     points = []
     policy = OwnershipPolicy("p", move_batch=512)
@@ -225,11 +229,11 @@
                 s: g if s % targets % 3 else ShardGrant(SERVICE, s)
                 for s, g in grants.items()
             }
-            rest_s = _plan_s(_inputs(shards, policy, targets, grants))
+            idle_s = _plan_s(_inputs(shards, policy, targets, grants))
             lost_s = _plan_s(_inputs(shards, policy, targets, lost))
             if targets == DESIGN_DAEMONS:
-                points.append((shards, rest_s))
-            row(shards, targets, f"{rest_s * 1000:.0f}", f"{lost_s * 1000:.0f}")
+                points.append((shards, idle_s))
+            row(shards, targets, f"{idle_s * 1000:.0f}", f"{lost_s * 1000:.0f}")
     table("Slope of a plan by shards, 1,500 targets", "what", "each", "at 65,536")
     slope_row("plan at rest", points, DESIGN_SHARDS, "ms", 1000)
 
@@ -245,7 +249,7 @@
 
 
 def bench_snapshot():
-    """Print what a snapshot of the state costs a control VM, by shards."""
+    """Print size and times of a snapshot at a control VM, by shards."""
     table("A snapshot at a control VM", "shards", "MB", "encode ms", "restore ms")
     sizes, encodes, restores = [], [], []
     for shards in (1024, 4096, 16_384):
--- a/benches/_capacity_relay.py
+++ b/benches/_capacity_relay.py
@@ -1,18 +1,19 @@
-"""A TCP relay on loopback that counts what passes."""
+"""A TCP relay on loopback that counts the relayed bytes and reads."""
 
 import socket
 import threading
 
 import attrs
 
-# IPv4 and TCP with timestamps; a segment without data is an acknowledgement.
-SEGMENT_HEADERS = 52
+# Bytes of the IPv4 and TCP headers with timestamps, also the size of an acknowledgement
+# without data.
+SEGMENT_HEADER_BYTES = 52
 _READ_BYTES = 65_536
 
 
 @attrs.frozen
-class Passed:
-    """What passed: bytes and reads there and back."""
+class Traffic:
+    """Bytes sent and received, and the number of reads both ways."""
 
     sent: int
     received: int
@@ -20,18 +21,19 @@
 
     @property
     def on_the_wire(self):
-        """Bytes with the headers of each segment and of its acknowledgement.
+        """Upper bound on the bytes with the headers of segments and acknowledgements.
 
-        At most: acknowledgements often ride on an answer or cover two segments.
+        Each read is counted as a segment with its own acknowledgement, although an
+        acknowledgement is often part of an answer or covers two segments.
         """
-        return self.sent + self.received + 2 * self.reads * SEGMENT_HEADERS
+        return self.sent + self.received + 2 * self.reads * SEGMENT_HEADER_BYTES
 
 
 class Relay:
-    """Passes connections on to a port until the process ends."""
+    """Relays connections to a port on loopback until the process ends."""
 
     def __init__(self, port):
-        self._to = "127.0.0.1", port
+        self._destination = "127.0.0.1", port
         self._lock = threading.Lock()
         self._bytes = [0, 0]
         self._reads = 0
@@ -39,29 +41,29 @@
         self.port = self._listener.getsockname()[1]
         _start(self._accept)
 
-    def take(self):
-        """Return what ``Passed`` since the last call."""
+    def reset(self):
+        """Return the traffic since the last call, and reset the counters."""
         with self._lock:
-            passed = Passed(*self._bytes, self._reads)
+            traffic = Traffic(*self._bytes, self._reads)
             self._bytes, self._reads = [0, 0], 0
-        return passed
+        return traffic
 
     def _accept(self):
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection(self._to)
-            for end in (near, far):
-                end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            _start(self._pump, near, far, 0)
-            _start(self._pump, far, near, 1)
-
-    def _pump(self, source, to, way):
+            accepted, _ = self._listener.accept()
+            forwarded = socket.create_connection(self._destination)
+            for connection in (accepted, forwarded):
+                connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            _start(self._copy, accepted, forwarded, 0)
+            _start(self._copy, forwarded, accepted, 1)
+
+    def _copy(self, source, destination, direction):
         try:
             while data := source.recv(_READ_BYTES):
                 with self._lock:
-                    self._bytes[way] += len(data)
+                    self._bytes[direction] += len(data)
                     self._reads += 1
-                to.sendall(data)
+                destination.sendall(data)
         except OSError:
             return
 
--- a/benches/_variant.py
+++ b/benches/_variant.py
@@ -1,6 +1,6 @@
-"""The program with one decision taken out, to measure what that decision is worth.
+"""Runs the program with one mechanism disabled, to measure its effect.
 
-Usage: ``python benches/_variant.py NAME ...`` with the program's own words after it.
+Usage: ``python benches/_variant.py NAME ...``, followed by the program's arguments.
 """
 
 import pathlib
@@ -13,14 +13,14 @@
 from tamarackhaven._shared_pool import SharedPool  # noqa: E402
 
 
-def _any_target(pool, members, slots, now, rng, tried=()):
-    """Return any target that was not tried."""
-    free = [member for member in members if member.target not in tried]
-    return rng.choice(free) if free else None
+def _random_target(pool, members, slots, now, rng, tried=()):
+    """Return a random target that was not tried, or None."""
+    untried = [member for member in members if member.target not in tried]
+    return rng.choice(untried) if untried else None
 
 
 def _no_choice():
-    SharedPool.choose = _any_target
+    SharedPool.choose = _random_target
     _no_hedge()
 
 
@@ -34,7 +34,7 @@
     )
 
 
-CHANGE_BY_NAME = {
+PATCH_BY_VARIANT = {
     "whole": lambda: None,
     "no-hedge": _no_hedge,
     "no-choice": _no_choice,
@@ -43,5 +43,5 @@
 
 
 if __name__ == "__main__":
-    CHANGE_BY_NAME[sys.argv.pop(1)]()
+    PATCH_BY_VARIANT[sys.argv.pop(1)]()
     runpy.run_module("tamarackhaven", run_name="__main__", alter_sys=True)
--- a/benches/bench_capacity.py
+++ b/benches/bench_capacity.py
@@ -1,9 +1,9 @@
-"""What each part costs, with slopes and the values at the design size.
+"""Measures the cost of each part, its slope and its value at the design size.
 
-Markdown tables. Bytes of calls are counted by a relay on loopback, processor time by
-the scheduler, memory by ``tracemalloc``. The first tables are of real processes; the
-others are of parts within this one. Absolute times are of a shared machine. Options:
-``--rest-s`` is how long idle processes are measured.
+Prints Markdown tables. Bytes of calls are counted by a relay on loopback, processor
+time by the scheduler, memory by ``tracemalloc``. The first tables are of real processes,
+the others of parts within this process. Absolute times depend on the load of the
+machine. ``--rest-s`` is how long idle processes are measured.
 """
 
 import argparse
@@ -52,24 +52,24 @@
 policy = "one-owner"
 shard_count = 64
 """
-UDP_HEADERS = 28
+UDP_HEADER_BYTES = 28
 VOTERS = 3
-CHANGES_A_DAY = 1_200
-BUDGET_BYTES, BUDGET_CORE, BUDGET_MB = 2_000, 1.3, 64
-SETTLE_S = 8.0
+CHANGES_PER_DAY = 1_200
+BUDGET_BYTES_PER_S, BUDGET_CPU_PERCENT, BUDGET_MB = 2_000, 1.3, 64
+SETTLE_TIME_S = 8.0
 CALL_TIMEOUT_S = 5.0
 
 
-def udp(message):
-    """Return the bytes of a datagram with its headers."""
-    return len(encode(message)) + UDP_HEADERS
+def datagram_bytes(message):
+    """Return the bytes of a message as a datagram, with IP and UDP headers."""
+    return len(encode(message)) + UDP_HEADER_BYTES
 
 
 def cpu_s(pid):
     """Return the processor time of a process, in seconds.
 
-    By the scheduler's own account: ``/proc/PID/stat`` counts whole ticks of 10 ms,
-    and misses most of a process that wakes for less than one.
+    Read from ``schedstat``, because ``/proc/PID/stat`` counts whole ticks of 10 ms and
+    misses most of the time of a process that runs for less than a tick at a time.
     """
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((t / "schedstat").read_text().split()[0]) for t in tasks) / 1e9
@@ -78,7 +78,7 @@
 def bench_rest(cluster, rest_s):
     """Print processor time and memory of idle processes."""
     names = ["d-t0", "d-t1", *cluster.control_names]
-    time.sleep(SETTLE_S)
+    time.sleep(SETTLE_TIME_S)
     pids = [cluster.process_by_name[name].pid for name in names]
     before = [cpu_s(pid) for pid in pids]
     time.sleep(rest_s)
@@ -88,19 +88,19 @@
         "process", "% of a core", "resident MB",
     )  # fmt: skip
     for name, start, end in zip(names, before, after, strict=True):
-        used = (end - start) / rest_s * 100
-        model.row(name, f"{used:.2f}", f"{cluster.resident_mb(name):.0f}")
-    model.row("allowed for a daemon", BUDGET_CORE, BUDGET_MB)
+        used_percent = (end - start) / rest_s * 100
+        model.row(name, f"{used_percent:.2f}", f"{cluster.resident_mb(name):.0f}")
+    model.row("allowed for a daemon", BUDGET_CPU_PERCENT, BUDGET_MB)
 
 
-def passed(relay, call):
-    """Return what one call passes through the relay, after a first one."""
+def measure_call(relay, call):
+    """Return the traffic of a call through the relay, after a first call to connect."""
     call()
     time.sleep(0.1)
-    relay.take()
+    relay.reset()
     call()
     time.sleep(0.1)
-    return relay.take()
+    return relay.reset()
 
 
 def put_zone(client):
@@ -118,28 +118,28 @@
 
 
 def bench_bytes(cluster):
-    """Print the bytes that control costs a daemon, by part."""
+    """Print the bytes between a daemon and the control group, by part."""
     leader = cluster.leader()
     relay = Relay(cluster.control_ports[leader][0])
     client = ControlClient([Member(leader, "127.0.0.1", relay.port, 1)])
     feed = client.fetch(0, CALL_TIMEOUT_S)
-    idle = passed(relay, lambda: client.fetch(feed.version, CALL_TIMEOUT_S))
+    idle = measure_call(relay, lambda: client.fetch(feed.version, CALL_TIMEOUT_S))
     before = put_zone(client) - 1
-    changed = passed(relay, lambda: client.fetch(before, CALL_TIMEOUT_S))
+    changed = measure_call(relay, lambda: client.fetch(before, CALL_TIMEOUT_S))
     reports = {
-        keys: passed(
+        keys: measure_call(
             relay, lambda keys=keys: client.report(report_of(keys), CALL_TIMEOUT_S)
         )
         for keys in (0, HOT_KEYS_REPORTED)
     }
     client.close()
     rounds = 1000 / LeaseSettings().renew_ms * VOTERS
-    hints = VOTERS * udp(Hint(1))
-    change_rate = CHANGES_A_DAY / 86_400
+    hints = VOTERS * datagram_bytes(Hint(1))
+    change_rate = CHANGES_PER_DAY / 86_400
     full_s = REPORT_EVERY_S + PAUSE_FOR_KEY_S * HOT_KEYS_REPORTED
     rows = [
-        ("renewals", udp(Renewal(1, 1, 1)), rounds),
-        ("answers", udp(Ack(1, Reason.GRANTED, 1)), rounds),
+        ("renewals", datagram_bytes(Renewal(1, 1, 1)), rounds),
+        ("answers", datagram_bytes(Ack(1, Reason.GRANTED, 1)), rounds),
         ("watch at rest", idle.on_the_wire, 1 / QUIET_EVERY_S),
         ("a change: hints and fetch", changed.on_the_wire + hints, change_rate),
         ("report, no hot key", reports[0].on_the_wire, 1 / REPORT_EVERY_S),
@@ -148,25 +148,25 @@
 
 
 def print_bytes(rows, full_report, full_s):
-    """Print the parts and their sums with and without hot keys."""
+    """Print the parts, and their sums with and without reported hot keys."""
     model.table(
         f"Control at a daemon, both ways, with headers; {VOTERS} voters, "
-        f"{CHANGES_A_DAY} changes a day",
+        f"{CHANGES_PER_DAY} changes a day",
         "part", "bytes each", "a second", "bytes/s",
     )  # fmt: skip
     for name, size, rate in rows:
         model.row(name, size, f"{rate:.3f}", f"{size * rate:.0f}")
     name = f"report, {HOT_KEYS_REPORTED} hot keys"
     model.row(name, full_report, f"{1 / full_s:.3f}", f"{full_report / full_s:.0f}")
-    without = sum(size * rate for _, size, rate in rows)
-    most = without - rows[-1][1] * rows[-1][2] + full_report / full_s
-    model.row("sum, no hot key", "", "", f"{without:.0f}")
-    model.row("sum, all hot keys", "", "", f"{most:.0f}")
-    model.row("allowed", "", "", BUDGET_BYTES)
+    without_hot_keys = sum(size * rate for _, size, rate in rows)
+    with_hot_keys = without_hot_keys - rows[-1][1] * rows[-1][2] + full_report / full_s
+    model.row("sum, no hot key", "", "", f"{without_hot_keys:.0f}")
+    model.row("sum, all hot keys", "", "", f"{with_hot_keys:.0f}")
+    model.row("allowed", "", "", BUDGET_BYTES_PER_S)
 
 
 def main():
-    """Run all parts."""
+    """Run all measurements."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--rest-s", type=float, default=20.0)
     options = parser.parse_args()
--- a/benches/bench_control.py
+++ b/benches/bench_control.py
@@ -1,7 +1,8 @@
-"""What the control group costs and how fast it is: commits, leases, loss.
+"""Measures the control group: commits, leases, outages and lost leases.
 
-Real control VMs as processes on loopback. The stand-in daemons are lease clients, many
-to a process. Absolute times are of a shared machine; compare figures of one run only.
+The control VMs are real processes on loopback. The stand-in daemons are lease clients,
+with many in a process. Absolute times depend on the load of the machine, so compare
+only figures of one run.
 """
 
 import argparse
@@ -39,12 +40,12 @@
 policy = "one-owner"
 shard_count = 64
 """
-UDP_HEADERS = 28
-LEASE_S = 10.0
+UDP_HEADER_BYTES = 28
+LEASE_MEASUREMENT_S = 10.0
 STANDIN_PROCESSES = 5
 COMMITS = 320
 CHANGES = 30
-SETTLE_S = 1.0
+UNCHANGED_S = 1.0
 
 
 def new_cluster(folder, targets):
@@ -54,7 +55,7 @@
 
 
 def members(cluster):
-    """Return the control VMs as members."""
+    """Return the control VMs as group members."""
     return [
         Member(name, "127.0.0.1", *ports)
         for name, ports in cluster.control_ports.items()
@@ -69,7 +70,7 @@
 
 
 def gauge(cluster, name, wanted):
-    """Return a gauge from the metrics page of a process."""
+    """Return a gauge from the metrics page of a process, or 0 if it isn't there."""
     settings = (cluster.folder / name / "settings.toml").read_text()
     port = settings.partition("[metrics]")[2].partition("port = ")[2].split()[0]
     with urllib.request.urlopen(f"http://127.0.0.1:{port}/metrics") as page:
@@ -80,7 +81,7 @@
 
 
 def bench_commits(cluster):
-    """Print commits a second and syncs for 1 and 64 writers."""
+    """Print the rate of commits and the syncs for each, for 1 and 64 writers."""
     print("\n| writers | commits | commits/s | syncs at the leader a commit |")
     print("|---|---|---|---|")
     leader = cluster.leader()
@@ -106,7 +107,10 @@
 
 
 def run_standins(rows, numbers, ready, stop, result):
-    """Renew leases for some targets in one process; send back its CPU time."""
+    """Renew leases for some targets in one process until ``stop`` is set.
+
+    Puts the used fraction of a core, and the leases held and lost, into ``result``.
+    """
     client = ControlClient(rows)
     leases = []
     for number in numbers:
@@ -137,9 +141,9 @@
 
 
 def bench_leases(cluster):
-    """Print what leases cost a daemon and a control VM, with the slope."""
-    renewal = len(encode(Renewal(1, 1, 1))) + UDP_HEADERS
-    ack = len(encode(Ack(1, Reason.GRANTED, 1))) + UDP_HEADERS
+    """Print bytes and CPU of leases at a daemon and at a control VM, with the slope."""
+    renewal = len(encode(Renewal(1, 1, 1))) + UDP_HEADER_BYTES
+    ack = len(encode(Ack(1, Reason.GRANTED, 1))) + UDP_HEADER_BYTES
     rate = 1000 / LeaseSettings().renew_ms
     voters = len(cluster.control_names)
     print(f"\nrenewal {renewal} and answer {ack} bytes with IP and UDP headers; ")
@@ -154,10 +158,10 @@
         batches.append(start_standins(cluster, range(total, count)))
         total = count
         before = [cluster.cpu_s(name) for name in cluster.control_names]
-        time.sleep(LEASE_S)
+        time.sleep(LEASE_MEASUREMENT_S)
         after = [cluster.cpu_s(name) for name in cluster.control_names]
         control = statistics.mean(b - a for a, b in zip(before, after, strict=True))
-        points.append((count, control / LEASE_S * 100))
+        points.append((count, control / LEASE_MEASUREMENT_S * 100))
         print(f"| {count} | | {points[-1][1]:.1f} |")
     rows = [row for batch in batches for row in stop_standins(batch)]
     cpu = sum(row[0] for row in rows) / total * 100
@@ -169,13 +173,13 @@
 
 
 def start_standins(cluster, numbers):
-    """Start processes that renew for these targets; return what ends them."""
+    """Start processes that renew leases for targets; return a batch to be stopped."""
     context = multiprocessing.get_context("spawn")
     ready, result, stop = context.Queue(), context.Queue(), context.Event()
     processes = []
     for part in range(STANDIN_PROCESSES):
-        mine = list(numbers)[part::STANDIN_PROCESSES]
-        arguments = (members(cluster), mine, ready, stop, result)
+        own_numbers = list(numbers)[part::STANDIN_PROCESSES]
+        arguments = (members(cluster), own_numbers, ready, stop, result)
         processes.append(context.Process(target=run_standins, args=arguments))
     for process in processes:
         process.start()
@@ -185,7 +189,7 @@
 
 
 def stop_standins(batch):
-    """End the processes of a batch and return their results."""
+    """Stop the processes of a batch and return their results."""
     processes, stop, result = batch
     stop.set()
     rows = [result.get(timeout=60) for _ in processes]
@@ -195,7 +199,7 @@
 
 
 def bench_losses(rounds):
-    """Print the time without an owner after kills of owner, leader and both."""
+    """Print the outage of a key after kills of its owner, of the leader and of both."""
     targets = [TargetSpec("s", f"t{n}", "ab"[n % 2], cold_s=0) for n in range(4)]
     cluster = new_cluster("losses", targets)
     print("\n| killed | times | median s | longest s |\n|---|---|---|---|")
@@ -204,7 +208,7 @@
         outages = {"owner": [], "leader": [], "both": []}
         for number in range(rounds):
             what = list(outages)[number % 3]
-            outages[what].append(one_loss(cluster, what, f"t{number % 4}"))
+            outages[what].append(measure_loss(cluster, what, f"t{number % 4}"))
     finally:
         cluster.stop()
     for what, times in outages.items():
@@ -212,12 +216,16 @@
         print(f"| {what} | {len(times)} | {row} |")
 
 
-def one_loss(cluster, what, name):
-    """Kill, measure one key of the lost owner (or of any), and repair."""
+def measure_loss(cluster, what, name):
+    """Kill processes, return the outage of one key of target ``name``, and repair.
+
+    ``what`` is ``owner``, ``leader`` or ``both``; the outage is in seconds.
+    """
     from tamarackhaven._keys import hash_key, shard_of
 
     owned = settled(cluster, name)
-    # Asked for in each round, a key would be hot, and pinned to another target.
+    # A new key in each round: one that is used in all of them would become hot and be
+    # pinned to another target.
     keys = (f"k{new_change_id()}" for _ in range(10_000))
     key = next(k for k in keys if shard_of(hash_key("s", k), 64) in owned)
     other = next(n for n in cluster.ports_by_name if n != name)
@@ -240,10 +248,10 @@
 
 
 def settled(cluster, name):
-    """Return the shards of a target once no shard has moved for a moment.
+    """Return the shards of a target once no shard has moved for ``UNCHANGED_S``.
 
-    Shards still come back after a repair. One that had moved away before the kill
-    would count as a loss without an outage.
+    Shards still move back after a repair. If the measured shard moved away before the
+    kill, the loss would be counted without an outage.
     """
     rows = None
     while True:
@@ -251,16 +259,16 @@
         known, rows = rows, cluster.records("shard")
         if rows == known:
             return {row["shard"] for row in rows if row["owner"] == name}
-        time.sleep(SETTLE_S)
+        time.sleep(UNCHANGED_S)
 
 
 def owns(cluster, name):
-    """Whether a target owns any shard."""
+    """Return whether a target owns any shard."""
     return any(row["owner"] == name for row in cluster.records("shard"))
 
 
 def bench_in_force(changes):
-    """Print how long a change takes until every daemon has it."""
+    """Print the time from a change until every daemon has applied it."""
     targets = [TargetSpec("s", f"t{n}", "ab"[n % 2], cold_s=0) for n in range(8)]
     cluster = new_cluster("force", targets)
     times = []
@@ -283,31 +291,31 @@
 
 
 def map_version(cluster, name):
-    """Return the version of the map that a daemon has."""
+    """Return the version of a daemon's map."""
     return gauge(cluster, f"d-{name}", "tamarackhaven_map_version")
 
 
-def burn(until):
-    """Keep one core busy until a moment of ``time.monotonic``."""
+def keep_core_busy(until):
+    """Keep one core busy until a time of ``time.monotonic``."""
     while time.monotonic() < until:
         sum(range(1000))
 
 
 def bench_false_expiries(seconds):
-    """Print leases lost while all cores are busy and nothing fails."""
+    """Print the leases lost while all cores are busy, although nothing fails."""
     targets = [TargetSpec("s", f"t{n}", "ab"[n % 2], cold_s=0) for n in range(4)]
     cluster = new_cluster("busy", targets)
     context = multiprocessing.get_context("spawn")
     try:
         cluster.start(RESOURCES)
         until = time.monotonic() + seconds
-        burners = [
-            context.Process(target=burn, args=(until,))
+        processes = [
+            context.Process(target=keep_core_busy, args=(until,))
             for _ in range(multiprocessing.cpu_count())
         ]
-        for process in burners:
+        for process in processes:
             process.start()
-        for process in burners:
+        for process in processes:
             process.join(seconds + 60)
         lost = sum(
             gauge(cluster, f"d-{t.name}", f'tamarackhaven_lease_losses{{reason="{r}"}}')
@@ -322,7 +330,7 @@
 
 
 def main():
-    """Run all parts."""
+    """Run the chosen measurements."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--kills", type=int, default=21)
     parser.add_argument("--busy-s", type=float, default=300.0)
--- a/benches/bench_links.py
+++ b/benches/bench_links.py
@@ -3,9 +3,9 @@
 Many daemons send request bodies to one target over its VM's link, with short calls in
 between. Compares sending each body at once on arrival with fetching bodies in parts, as
 the product does, and with an upper bound on the bodies in time for any order. Prints
-for several loads how long calls queue behind bodies, how many bodies are complete in time,
-which fraction of the link carries bodies that complete before their deadline, and how
-long after its announcement a body is refused.
+for several loads how long calls queue behind bodies, how many bodies are complete in
+time, which fraction of the link carries bodies that complete before their deadline, and
+how long after its announcement a body is refused.
 """
 
 import random
--- a/benches/bench_path.py
+++ b/benches/bench_path.py
@@ -1,8 +1,8 @@
-"""Time of one request straight to a target, and through one and two daemons.
+"""Measures the latency of requests directly to a target, and via one and two daemons.
 
-All three ways are measured in turn within one run, so that a busy machine slows them
-alike; the ratios are the result. The daemons are processes of their own with a fixed
-view and a lease that holds.
+The three ways are measured in turn within one run, so that a busy machine slows them
+equally; compare their ratios. The daemons are separate processes with a fixed view and
+a lease that never expires.
 """
 
 import argparse
@@ -33,7 +33,7 @@
 
 
 def run_daemon(target):
-    """Run one daemon until its standard input ends."""
+    """Run one daemon until its standard input is closed."""
     view = FakeView()
     settings = daemon_settings(target, stale_s=60.0)
     log = Log("bench", write=lambda **fields: None)
@@ -51,13 +51,13 @@
     daemon.on_grants(grants if target == OWNER else [])
     daemon.start()
     ended = threading.Event()
-    threading.Thread(target=_confirm, args=(daemon, ended), daemon=True).start()
+    threading.Thread(target=_confirm_lease, args=(daemon, ended), daemon=True).start()
     sys.stdin.read()
     ended.set()
     daemon.stop()
 
 
-def _confirm(daemon, ended):
+def _confirm_lease(daemon, ended):
     while not ended.wait(1.0):
         daemon.on_confirmed(_clock.boot_s())
 
@@ -79,7 +79,7 @@
 
 
 def _measure(port_by_way, requests):
-    """Return latencies in milliseconds by way, asked in turn on kept connections."""
+    """Return latencies in milliseconds by way, measured in turn on open connections."""
     connection_by_way = {
         way: http.client.HTTPConnection("127.0.0.1", port, timeout=20)
         for way, port in port_by_way.items()
@@ -116,7 +116,7 @@
     return {way: sum((part[way] for part in found), []) for way in port_by_way}
 
 
-def _print(latencies_by_way):
+def _print_latencies(latencies_by_way):
     print(f"{'way':<14}{'mean ms':>9}{'p99 ms':>9}{'mean ratio':>12}{'p99 ratio':>11}")
     base = None
     for way, latencies in latencies_by_way.items():
@@ -128,7 +128,7 @@
 
 
 def run(requests, clients, service_ms):
-    """Start all processes, measure, print and end them."""
+    """Start all processes, measure and print latencies, and stop the processes."""
     processes = []
     try:
         daemon_by_name = {}
@@ -153,7 +153,7 @@
             "one daemon": ports_by_name[OWNER]["caller"],
             "two daemons": ports_by_name["t2"]["caller"],
         }
-        _print(_measure_all(port_by_way, requests, clients))
+        _print_latencies(_measure_all(port_by_way, requests, clients))
         for name, daemon in daemon_by_name.items():
             print(f"memory of the daemon of {name}: {_memory_mb(daemon):.1f} MB")
     finally:
@@ -163,7 +163,7 @@
 
 
 def main():
-    """Read the command line and run."""
+    """Parse the command line; run the bench or one of its daemons."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--daemon", help="run one daemon; used by the bench itself")
     parser.add_argument("--requests", type=int, default=2000)
--- a/benches/bench_placement.py
+++ b/benches/bench_placement.py
@@ -3,10 +3,10 @@
 ``python benches/bench_placement.py [seeds]``. The simulation is seeded, so its tables
 are the same on every machine; only the last table is of measured times. A step is one
 placement tick. With the product's placement, an owner releases a shard in the step
-after the move was planned. The naive placements move all shards at once in the step after the
-change, and two owners may overlap. The product's placement is run twice: with the load
-of each shard known, and with all shards taken as equal, as when no daemon reports loads
-by shard.
+after the move was planned. The naive placements move all shards at once in the step
+after the change, and two owners may overlap. The product's placement is run twice: with
+the load of each shard known, and with all shards taken as equal, as when no daemon
+reports loads by shard.
 """
 
 import heapq
--- a/benches/measure.py
+++ b/benches/measure.py
@@ -1,8 +1,9 @@
-"""Plays the same days for several checkouts in turn, and compares what they earn.
+"""Simulates the same days with several checkouts, and compares their scores.
 
-One run is no measurement: a change counts if it is better over days and seeds by more
-than their spread. The program that plays a day is given by the caller; it must take
-``run SITE DAY --seed N --no-cpu --report FILE`` in a checkout's folder.
+A single run says little: a change is an improvement only if its mean gain over days and
+seeds exceeds its standard error. The program that simulates a day is given on the
+command line; it must accept ``run SITE DAY --seed N --no-cpu --report FILE --why TEXT``
+in a checkout's folder.
 """
 
 import concurrent.futures
@@ -15,13 +16,13 @@
 import attrs
 import defopt
 
-# Prices below this are left out of the table, as parts of a day's worth.
-SMALL_PRICE = 0.002
+# Prices below this fraction of a day's worth are left out of the table.
+MIN_PRICE_SHOWN = 0.002
 
 
 @attrs.frozen
 class Play:
-    """One day of a site under one seed; seed 0 is the day's own."""
+    """A day of a site with a seed; 0 stands for the day's own seed."""
 
     site: Path
     day: str
@@ -29,13 +30,13 @@
 
     @property
     def name(self):
-        """What the tables call it."""
+        """Label in the tables."""
         return f"{self.site.stem} {self.day} {self.seed or ''}".strip()
 
 
 @attrs.frozen
 class Result:
-    """What one checkout earned on one day; None where nothing was reported."""
+    """Scores of one checkout on one day; ``worth`` is None without a report."""
 
     worth: float | None
     parts: dict
@@ -45,7 +46,7 @@
 
     @classmethod
     def read(cls, path):
-        """Return the result in a report, or one that is empty."""
+        """Return the result in a report, or an empty one if it can't be read."""
         try:
             report = json.loads(path.read_text())
         except (OSError, json.JSONDecodeError):
@@ -63,7 +64,7 @@
 
 
 def play(player, checkout, one, folder):
-    """Play a day in a checkout; return its ``Result``."""
+    """Simulate a day with a checkout; return its ``Result``."""
     name = f"{checkout.name}-{one.name}".replace(" ", "-")
     report = folder / f"{name}.json"
     command = [player, "run", str(one.site), one.day, "--no-cpu"]
@@ -77,7 +78,10 @@
 
 
 def show(plays, checkouts, result_by_key):
-    """Print one line a day, then each checkout's means against the first one's."""
+    """Print a line for each day, then the means of each checkout and its mean gains.
+
+    Gains are over the first checkout.
+    """
     width = max(len(one.name) for one in plays)
     for one in plays:
         cells = []
@@ -107,7 +111,7 @@
         _show_mean(name, [(a.parts[name], b.parts[name]) for a, b in pairs])
     for name in pairs[0][0].prices:
         values = [(a.prices[name], b.prices[name]) for a, b in pairs]
-        if max(max(pair) for pair in values) >= SMALL_PRICE:
+        if max(max(pair) for pair in values) >= MIN_PRICE_SHOWN:
             _show_mean(f"price: {name}", values)
     for number in range(len(pairs[0][0].kinds)):
         values = [(a.kinds[number], b.kinds[number]) for a, b in pairs]
@@ -130,22 +134,22 @@
     seed: list[int] | None = None,
     jobs: int = 3,
 ):
-    """Play days for several checkouts and print what they earn.
+    """Simulate days with several checkouts and print their scores.
 
     Parameters
     ----------
     player
-        Program that plays a day.
+        Program that simulates a day.
     site
         Site files.
     day
         Names or files of days.
     checkout
-        Folders of checkouts; the first one is what the others are compared with.
+        Folders of checkouts; the others are compared with the first one.
     seed
-        Luck of the days; 0, the default, is each day's own.
+        Seeds of the days; 0, the default, is each day's own seed.
     jobs
-        Days at a time.
+        Number of days simulated at a time.
     """
     plays = [
         Play(place.resolve(), name, number)
