--- a/benches/bench_capacity.py
+++ b/benches/bench_capacity.py
@@ -1,9 +1,9 @@
 """Measures the cost of each part, its slope and its value at the design size.
 
 Prints Markdown tables. Bytes of calls are counted by a relay on loopback, processor
-time by the scheduler, memory by ``tracemalloc``. The first tables are of real processes,
-the others of parts within this process. Absolute times depend on the load of the
-machine. ``--rest-s`` is how long idle processes are measured.
+time by the scheduler, memory by ``tracemalloc``. The first tables are of real
+processes, the others of parts within this process. Absolute times depend on the load of
+the machine. ``--rest-s`` is how long idle processes are measured.
 """
 
 import argparse
