--- a/features/environment.py
+++ b/features/environment.py
@@ -1,6 +1,6 @@
 """One cluster of real processes for each feature tagged ``cluster``.
 
-A scenario may break anything; the next one starts from a healed cluster.
+A scenario may leave the cluster broken; the next one restores it first.
 """
 
 import shutil
@@ -97,5 +97,5 @@
         context.cluster = None
     duration_s = time.monotonic() - context.started_s
     rows = [*context.measured, f"{duration_s:.1f} s in all"]
-    # Past behave's capture: the figures belong to the run, passed or not.
+    # Bypasses behave's capture, so that the figures are shown for passed scenarios too.
     print(f"\n{scenario.name}: {'; '.join(rows)}", file=sys.__stdout__, flush=True)
--- a/features/steps/cluster_steps.py
+++ b/features/steps/cluster_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start, break and heal the processes of a cluster, and audit bookings."""
+"""Steps that start, kill, freeze and restore processes, and audit bookings."""
 
 import http.client
 import itertools
@@ -11,25 +11,25 @@
 from behave import given, then, when
 
 from features.support import (
-    CALLERS,
-    HEAL_S,
+    CALLER_COUNT,
     KEYS,
-    balanced,
-    counts,
+    RECOVERY_TIMEOUT_S,
     grants,
-    heal,
+    is_balanced,
     keys_of,
-    start_again,
+    restart,
+    restore_cluster,
+    target_counts,
 )
 from standin.cluster import wait_until
 from standin.load import Load, ask, outage_s
 
-WAITERS = 12
+MAX_WAITING_BOOKINGS = 12
 
 
 @given("a healthy cluster")
 def healthy_cluster(context):
-    heal(context)
+    restore_cluster(context)
 
 
 @given("callers look up and book")
@@ -46,7 +46,7 @@
 
 def start_load(context, ports):
     context.ports = ports
-    context.load = Load(lambda: ports, "booking", KEYS, 0.6, CALLERS, pause_s=0.03)
+    context.load = Load(lambda: ports, "booking", KEYS, 0.6, CALLER_COUNT, pause_s=0.03)
     context.load.start()
     wait_until(lambda: len(context.load.latencies_s) > 50, 30, "50 answers")
 
@@ -57,7 +57,7 @@
 
 
 @when('"{names}" are killed')
-def killed(context, names):
+def processes_killed(context, names):
     names = names.split()
     context.killed_keys = keys_of(context, names)
     context.killed_s = time.monotonic()
@@ -73,17 +73,19 @@
 @when('bookings of its keys wait at "{name}"')
 def bookings_wait(context, name):
     port = context.cluster.ports_by_name[name].caller
-    context.waiting_keys = keys_of(context, [f"d-{name}"])[:WAITERS]
+    context.waiting_keys = keys_of(context, [f"d-{name}"])[:MAX_WAITING_BOOKINGS]
     assert context.waiting_keys
-    context.waiters = ThreadPoolExecutor(WAITERS)
+    context.booking_threads = ThreadPoolExecutor(MAX_WAITING_BOOKINGS)
     context.waiting = [
-        context.waiters.submit(book, port, key) for key in context.waiting_keys
+        context.booking_threads.submit(book, port, key) for key in context.waiting_keys
     ]
 
 
 def book(port, key):
-    """Book once, waiting long enough for a frozen daemon to wake."""
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=HEAL_S)
+    """Book once, with a timeout that outlasts the freeze of a daemon."""
+    connection = http.client.HTTPConnection(
+        "127.0.0.1", port, timeout=RECOVERY_TIMEOUT_S
+    )
     headers = {
         "Idempotency-Key": uuid.uuid4().hex,
         "Tamarackhaven-First-Sent": f"{time.time():.3f}",
@@ -97,32 +99,32 @@
 @when('each of these keys is booked at "{name}"')
 def each_booked(context, name):
     port = context.cluster.ports_by_name[name].caller
-    left = set(context.waiting_keys)
+    unbooked = set(context.waiting_keys)
 
     def all_booked():
-        left.difference_update([k for k in left if book(port, k).status == 201])
-        return not left
+        unbooked.difference_update([k for k in unbooked if book(port, k).status == 201])
+        return not unbooked
 
-    wait_until(all_booked, HEAL_S, "a booking of each key at its new owner")
+    wait_until(all_booked, RECOVERY_TIMEOUT_S, "a booking of each key at its new owner")
 
 
 @then("every waiting booking gets an answer")
 def waiting_answered(context):
-    answers = [future.result(HEAL_S) for future in context.waiting]
-    context.waiters.shutdown()
-    said = Counter(answer.error or str(answer.status) for answer in answers)
-    context.measured.append(f"waiting bookings: {dict(said)}")
-    assert all(answer.status for answer in answers), said
+    answers = [future.result(RECOVERY_TIMEOUT_S) for future in context.waiting]
+    context.booking_threads.shutdown()
+    count_by_answer = Counter(answer.error or str(answer.status) for answer in answers)
+    context.measured.append(f"waiting bookings: {dict(count_by_answer)}")
+    assert all(answer.status for answer in answers), count_by_answer
 
 
 @when('"{name}" is woken')
-def woken(context, name):
+def process_resumed(context, name):
     context.cluster.send_signal(name, signal.SIGCONT)
 
 
 @when('"{name}" starts again')
 def starts_again(context, name):
-    start_again(context.cluster, name)
+    restart(context.cluster, name)
 
 
 @then('a key of the killed is served at "{name}" within {seconds:g} s')
@@ -140,20 +142,22 @@
 def owns_nothing(context, name, seconds):
     start = time.monotonic()
 
-    def is_bare():
+    def is_moved():
         return all(row.owner not in ("", name) for row in grants(context))
 
-    wait_until(is_bare, seconds, f"all shards of {name} elsewhere")
+    wait_until(is_moved, seconds, f"all shards of {name} elsewhere")
     context.measured.append(f"moved within {time.monotonic() - start:.1f} s")
 
 
 @then("every target owns shards again")
 def all_own(context):
-    wait_until(lambda: balanced(context), HEAL_S, "every target owns shards")
+    wait_until(
+        lambda: is_balanced(context), RECOVERY_TIMEOUT_S, "every target owns shards"
+    )
 
 
 @then("no booking is lost or doubled")
-def audited(context):
+def bookings_audited(context):
     context.load.stop()
     audit = context.load.audit(context.cluster.journal())
     context.measured.append(
@@ -170,12 +174,12 @@
 def grants_in_order(context):
     rows = context.cluster.executions()
     target_by_grant = {}
-    by_shard = {}
+    rows_by_shard = {}
     for row in rows:
         grant = row["shard"], row["grant"]
         assert target_by_grant.setdefault(grant, row["target"]) == row["target"], row
-        by_shard.setdefault(row["shard"], []).append(row)
-    for executed in by_shard.values():
+        rows_by_shard.setdefault(row["shard"], []).append(row)
+    for executed in rows_by_shard.values():
         executed.sort(key=lambda row: row["started_ms"])
         for earlier, later in itertools.pairwise(executed):
             assert earlier["grant"] <= later["grant"], (earlier, later)
@@ -195,13 +199,13 @@
     def answered():
         return all(ask(port, "booking", key).status == 200 for key in KEYS)
 
-    wait_until(answered, HEAL_S, "an answer for each key")
+    wait_until(answered, RECOVERY_TIMEOUT_S, "an answer for each key")
 
 
 @then('the targets refused "{reason}" {low:d} times or more')
 def refused(context, reason, low):
     total = Counter()
     for name in context.cluster.spec_by_name:
-        total.update(counts(context.cluster, name)["refused"])
+        total.update(target_counts(context.cluster, name)["refused"])
     context.measured.append(f"refused by targets: {dict(total)}")
     assert total[reason] >= low, total
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps that break control VMs, change resources and read them back."""
+"""Steps that kill or freeze control VMs, change resources and read them back."""
 
 import json
 import shutil
@@ -11,15 +11,15 @@
 from behave import then, when
 
 from features.support import (
-    CALL_S,
-    HEAL_S,
+    CALL_TIMEOUT_S,
     KEYS,
+    RECOVERY_TIMEOUT_S,
     follower,
     grants,
     keys_of,
     leader,
     member,
-    start_again,
+    restart,
 )
 from standin.cluster import HOST, ROOT, STOP_S, wait_until
 from standin.load import ask
@@ -29,12 +29,12 @@
 from tamarackhaven.errors import TamarackhavenError
 
 POLICY = "one-owner"
-PINNED_MOST = 500
-ASKERS = 12
+PINNED_KEYS_MODULUS = 500
+LOOKUP_THREADS = 12
 
 
 def policy(client):
-    _, found = plumbing.records(client, CALL_S)
+    _, found = plumbing.records(client, CALL_TIMEOUT_S)
     return next(r for r in found if isinstance(r, OwnershipPolicy))
 
 
@@ -50,19 +50,21 @@
 @when("{count:d} changes are acknowledged")
 def changes(context, count):
     start = time.monotonic()
-    present = policy(context.client)
+    current = policy(context.client)
     for _ in range(count):
-        most = present.max_pinned_keys % PINNED_MOST + 1
-        wanted = attrs.evolve(present, max_pinned_keys=most)
+        max_pinned_keys = current.max_pinned_keys % PINNED_KEYS_MODULUS + 1
+        wanted = attrs.evolve(current, max_pinned_keys=max_pinned_keys)
         change_id = plumbing.new_change_id()
-        done = plumbing.apply_resource(context.client, wanted, change_id, CALL_S)
-        assert done.version > present.version, (done, present)
-        present = attrs.evolve(wanted, version=done.version)
-    context.acknowledged = present
+        done = plumbing.apply_resource(
+            context.client, wanted, change_id, CALL_TIMEOUT_S
+        )
+        assert done.version > current.version, (done, current)
+        current = attrs.evolve(wanted, version=done.version)
+    context.acknowledged = current
     context.grants_before = grant_by_shard(context)
     if count > 1:
-        took = time.monotonic() - start
-        context.measured.append(f"{count} changes in {took:.1f} s")
+        elapsed_s = time.monotonic() - start
+        context.measured.append(f"{count} changes in {elapsed_s:.1f} s")
 
 
 @then("the acknowledged changes are in force")
@@ -97,7 +99,7 @@
 
 
 @then("no shard of a living owner has moved")
-def living_unmoved(context):
+def living_owners_keep_shards(context):
     now = grant_by_shard(context)
     for shard, before in context.grants_before.items():
         if before.owner != context.killed_owner:
@@ -129,12 +131,12 @@
 
 
 @when("the frozen control VM is woken")
-def control_woken(context):
+def control_resumed(context):
     context.cluster.send_signal(context.frozen, signal.SIGCONT)
 
 
 @then("get through it shows the last change")
-def get_through(context):
+def get_shows_last_change(context):
     client = ControlClient([member(context.cluster, context.frozen)])
     try:
         assert policy(client) == context.acknowledged
@@ -143,11 +145,11 @@
 
 
 @then("a watch through it shows no older version")
-def watch_through(context):
+def watch_shows_no_older(context):
     client = ControlClient([member(context.cluster, context.frozen)])
     version = context.acknowledged.version
     try:
-        feed = next(client.watch(version - 1, CALL_S))
+        feed = next(client.watch(version - 1, CALL_TIMEOUT_S))
         assert feed.version >= version, feed
         assert all(event.version >= version for event in feed.events), feed
     finally:
@@ -162,21 +164,21 @@
 
 
 @when("two operators apply changes of the same version at once")
-def race(context):
-    cluster, present = context.cluster, policy(context.client)
+def concurrent_changes(context):
+    cluster, current = context.cluster, policy(context.client)
     operator = str(cluster.folder / "operator" / "settings.toml")
-    context.racers = []
+    context.concurrent_applies = []
     for number in (1, 2):
-        most = (present.max_pinned_keys + number) % PINNED_MOST
+        max_pinned_keys = (current.max_pinned_keys + number) % PINNED_KEYS_MODULUS
         path = cluster.folder / f"race-{number}.toml"
         path.write_text(
-            f'[[policy]]\nname = "{POLICY}"\nmove_batch = {present.move_batch}\n'
-            f"max_pinned_keys = {most}\nversion = {present.version}\n"
+            f'[[policy]]\nname = "{POLICY}"\nmove_batch = {current.move_batch}\n'
+            f"max_pinned_keys = {max_pinned_keys}\nversion = {current.version}\n"
         )
         words = ["apply", str(path), "--settings", operator, "--output", "json"]
         command = [*cluster.program, *words, "--change-id", f"race-{path}"]
-        context.racers.append((most, command))
-    running = [run(context, command) for _, command in context.racers]
+        context.concurrent_applies.append((max_pinned_keys, command))
+    running = [run(context, command) for _, command in context.concurrent_applies]
     outputs = [process.communicate(timeout=60) for process in running]
     context.outcomes = [
         (process.returncode, *output)
@@ -197,7 +199,7 @@
 
 
 @then('one exits with 0 and the other with {code:d} and "{words}"')
-def one_wins(context, code, words):
+def one_change_wins(context, code, words):
     codes = sorted(outcome[0] for outcome in context.outcomes)
     assert codes == [0, code], context.outcomes
     loser = next(outcome for outcome in context.outcomes if outcome[0])
@@ -205,9 +207,9 @@
 
 
 @then("the winner's change sent again gets its first version")
-def winner_again(context):
+def winner_resent(context):
     winner = [outcome[0] for outcome in context.outcomes].index(0)
-    context.winner_most, command = context.racers[winner]
+    context.winner_max_pinned_keys, command = context.concurrent_applies[winner]
     first = json.loads(context.outcomes[winner][1])["version"]
     again = run(context, command)
     out, _ = again.communicate(timeout=60)
@@ -216,7 +218,7 @@
 
 @then("the winner's change is in force")
 def winner_in_force(context):
-    assert policy(context.client).max_pinned_keys == context.winner_most
+    assert policy(context.client).max_pinned_keys == context.winner_max_pinned_keys
 
 
 @when("a watcher has seen the state and ends")
@@ -263,7 +265,7 @@
 def follower_again(context):
     name = follower(context)
     context.cluster.kill(name)
-    start_again(context.cluster, name)
+    restart(context.cluster, name)
 
 
 @when("the leader gets SIGTERM")
@@ -287,7 +289,7 @@
 @when("the killed control VMs start again")
 def controls_again(context):
     for name in context.killed_controls:
-        start_again(context.cluster, name)
+        restart(context.cluster, name)
 
 
 @then('every lookup at "{name}" is refused with "did not run" within {seconds:g} s')
@@ -296,15 +298,15 @@
     answers = []
 
     def refused():
-        with ThreadPoolExecutor(ASKERS) as executor:
+        with ThreadPoolExecutor(LOOKUP_THREADS) as executor:
             asked = executor.map(lambda key: ask(port, "booking", key), KEYS)
             answers[:] = list(asked)
         return all(a.status and a.error and a.ran == "no" for a in answers)
 
     wait_until(refused, seconds, "only refusals")
-    took = time.monotonic() - context.killed_s
+    elapsed_s = time.monotonic() - context.killed_s
     errors = sorted({answer.error for answer in answers})
-    context.measured.append(f"only {errors} after {took:.1f} s")
+    context.measured.append(f"only {errors} after {elapsed_s:.1f} s")
     assert all(answer.retry_after_s > 0 for answer in answers), answers
 
 
@@ -322,7 +324,7 @@
 @then('its start exits with {code:d} and "{words}"')
 def start_refused(context, code, words):
     cluster = context.cluster
-    start_again(cluster, context.lost)
+    restart(cluster, context.lost)
     process = cluster.process_by_name.pop(context.lost)
     assert process.wait(STOP_S * 2) == code, process.returncode
     out = (cluster.folder / f"out-{context.lost}").read_text()
@@ -330,19 +332,20 @@
 
 
 @when('"{name}" joins, is promoted, and the lost one is removed')
-def repaired(context, name):
+def lost_member_replaced(context, name):
     cluster = context.cluster
     start = time.monotonic()
     port, lease_port = cluster.add_control(name)
-    # Asks the group whether its name is new, so it starts before it is added.
+    # It is started first, because it asks the group at its start whether its name is
+    # new.
     cluster.start_control(name)
-    wait_until(lambda: answers(context, name), HEAL_S, f"{name} answers")
+    wait_until(lambda: answers(context, name), RECOVERY_TIMEOUT_S, f"{name} answers")
     cluster.command("member-add", name, HOST, str(port), str(lease_port))
 
     def promoted():
         return not cluster.command("member-promote", name, check=False).returncode
 
-    wait_until(promoted, HEAL_S, f"{name} has caught up")
+    wait_until(promoted, RECOVERY_TIMEOUT_S, f"{name} has caught up")
     cluster.command("member-remove", context.lost)
     cluster.control_names[:] = [
         *(n for n in cluster.control_names if n != context.lost),
@@ -366,5 +369,5 @@
 def other_killed(context):
     keep = {context.new_member}
     old = [n for n in context.cluster.control_names if n not in keep]
-    led = leader(context).member
-    context.cluster.kill(next(n for n in old if n != led))
+    leader_name = leader(context).member
+    context.cluster.kill(next(n for n in old if n != leader_name))
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start one process with a mistake and read how it ends."""
+"""Steps that start a process with a wrong setup, and check its exit code and output."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 
 
 def start(context, role):
-    """Start the one daemon, or the first control VM, of a cluster that is down."""
+    """Start the only daemon, or the first control VM, of a stopped cluster."""
     context.path = context.cluster.folder / NAME_BY_ROLE[role] / "settings.toml"
     if role == "daemon":
         context.cluster.start_daemon("t1")
@@ -20,24 +20,24 @@
 
 
 @when('a {role} starts with "{old}" replaced by "{new}" in its settings')
-def starts_wrong(context, role, old, new):
+def starts_with_changed_settings(context, role, old, new):
     path = context.cluster.folder / NAME_BY_ROLE[role] / "settings.toml"
-    right = path.read_text()
-    assert old in right, right
-    path.write_text(right.replace(old, new, 1))
+    original = path.read_text()
+    assert old in original, original
+    path.write_text(original.replace(old, new, 1))
     start(context, role)
     context.ended = NAME_BY_ROLE[role]
 
 
 @when("a daemon starts with a settings file that is not there")
-def starts_without(context):
+def starts_without_settings(context):
     (context.cluster.folder / NAME_BY_ROLE["daemon"] / "settings.toml").unlink()
     start(context, "daemon")
     context.ended = NAME_BY_ROLE["daemon"]
 
 
 @when('a {role} starts while its "{name}" port is taken')
-def starts_on_taken(context, role, name):
+def starts_on_port_in_use(context, role, name):
     if role == "daemon":
         context.port = getattr(context.cluster.ports_by_name["t1"], name)
     else:
@@ -67,35 +67,35 @@
 
 
 def ended(context):
-    """Wait for the process and return its exit code and all that it printed."""
+    """Wait for the process and return its exit code and its output."""
     code = context.cluster.process_by_name[context.ended].wait(STOP_S * 2)
     return code, (context.cluster.folder / f"out-{context.ended}").read_text()
 
 
-def told(context, code, *words):
-    found, text = ended(context)
-    context.measured.append(f"{found}: {text.strip()}")
-    assert found == code, (found, text)
+def check_exit(context, code, *words):
+    exit_code, text = ended(context)
+    context.measured.append(f"{exit_code}: {text.strip()}")
+    assert exit_code == code, (exit_code, text)
     for word in words:
         assert word in text, (word, text)
     assert "Traceback" not in text, text
 
 
 @then('it ends with {code:d} and tells "{kind}", the file and "{key}"')
-def told_of_file(context, code, kind, key):
-    told(context, code, kind, str(context.path), key)
+def exits_naming_file(context, code, kind, key):
+    check_exit(context, code, kind, str(context.path), key)
 
 
 @then('it ends with {code:d} and tells "{kind}" and that port')
-def told_of_port(context, code, kind):
-    told(context, code, kind, str(context.port))
+def exits_naming_port(context, code, kind):
+    check_exit(context, code, kind, str(context.port))
 
 
 @then('it ends with {code:d} and tells "{kind}" and the folder')
-def told_of_folder(context, code, kind):
-    told(context, code, kind, str(context.path.parent))
+def exits_naming_folder(context, code, kind):
+    check_exit(context, code, kind, str(context.path.parent))
 
 
 @then("the first one still runs")
-def first_runs(context):
+def first_still_runs(context):
     assert context.first.poll() is None
--- a/features/steps/zone_steps.py
+++ b/features/steps/zone_steps.py
@@ -1,10 +1,16 @@
-"""Steps for availability zones, planned stops and claims of a name."""
+"""Steps for availability zones, planned stops, and a second process with a name."""
 
 import time
 
 from behave import then, when
 
-from features.support import HEAL_S, counts, grants, set_zones, target_member
+from features.support import (
+    RECOVERY_TIMEOUT_S,
+    grants,
+    set_zones,
+    target_counts,
+    target_member,
+)
 from standin.cluster import TargetSpec, wait_until
 from tamarackhaven._model import ZoneState
 
@@ -14,18 +20,18 @@
 @when('zone "{name}" is taken {state}')
 def zone_taken(context, name, state):
     set_zones(context, ZoneState(state), name)
-    context.zone_s = time.monotonic()
+    context.zone_changed_s = time.monotonic()
 
 
 @when('the last zone, "{name}", is taken out')
 def last_zone_taken(context, name):
     set_zones(context, ZoneState.OUT, name, last=True)
-    context.zone_s = time.monotonic()
+    context.zone_changed_s = time.monotonic()
 
 
 @then('after {after:g} s no target of zone "{zone}" starts anything for {lasting:g} s')
 def nothing_starts_after(context, after, zone, lasting):
-    time.sleep(max(0, context.zone_s + after - time.monotonic()))
+    time.sleep(max(0, context.zone_changed_s + after - time.monotonic()))
     nothing_starts(context, zone, lasting)
 
 
@@ -34,9 +40,9 @@
     specs = context.cluster.spec_by_name.values()
     names = [spec.name for spec in specs if spec.zone == zone]
     assert names, zone
-    before = [counts(context.cluster, name) for name in names]
+    before = [target_counts(context.cluster, name) for name in names]
     time.sleep(lasting)
-    after = [counts(context.cluster, name) for name in names]
+    after = [target_counts(context.cluster, name) for name in names]
     for name, old, new in zip(names, before, after, strict=True):
         assert new["served"] == old["served"], (name, old["served"], new["served"])
         assert new["executions"] == old["executions"], name
@@ -84,6 +90,6 @@
         row = target_member(context, name)
         return row.peer.port == port and grants_of(context, name)
 
-    wait_until(owns, HEAL_S, "the second process owns shards")
-    took = time.monotonic() - context.killed_s
-    context.measured.append(f"the second took over after {took:.1f} s")
+    wait_until(owns, RECOVERY_TIMEOUT_S, "the second process owns shards")
+    elapsed_s = time.monotonic() - context.killed_s
+    context.measured.append(f"the second took over after {elapsed_s:.1f} s")
--- a/features/support.py
+++ b/features/support.py
@@ -1,4 +1,4 @@
-"""What the steps share: healing a cluster, and asking its control VMs and targets."""
+"""Helpers of the steps: restore a cluster, and query its control VMs and targets."""
 
 import http.client
 import json
@@ -13,30 +13,36 @@
 from tamarackhaven.errors import TamarackhavenError
 
 KEYS = [f"voyage-{number}" for number in range(120)]
-SHARDS = 64
-HEAL_S = 60
-CALLERS = 16
-CALL_S = 5
-PROMISES_S = 0.6
+SHARD_COUNT = 64
+RECOVERY_TIMEOUT_S = 60
+CALLER_COUNT = 16
+CALL_TIMEOUT_S = 5
+LEASE_PROMISE_WAIT_S = 0.6
 
 
-def heal(context):
-    """Start what has ended, wake what is frozen, take all zones in."""
+def restore_cluster(context):
+    """Start ended processes, resume frozen ones, and set all zones to in."""
     cluster = context.cluster
     for name, process in cluster.process_by_name.items():
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
             continue
-        start_again(cluster, name)
-    wait_until(lambda: all_in_step(context), HEAL_S, "every control VM has all")
-    # A control VM counts every target as promised for a lease after its start, and
-    # grants nothing until then.
-    time.sleep(PROMISES_S)
+        restart(cluster, name)
+    wait_until(
+        lambda: is_group_consistent(context),
+        RECOVERY_TIMEOUT_S,
+        "every control VM has all",
+    )
+    # For the time of a lease after its start, a control VM takes every target for one
+    # that was promised a lease, and grants nothing.
+    time.sleep(LEASE_PROMISE_WAIT_S)
     set_zones(context, ZoneState.IN, "a", "b", "c")
-    wait_until(lambda: balanced(context), HEAL_S, "every target owns shards")
+    wait_until(
+        lambda: is_balanced(context), RECOVERY_TIMEOUT_S, "every target owns shards"
+    )
 
 
-def start_again(cluster, name):
+def restart(cluster, name):
     if name in cluster.control_names:
         cluster.start_control(name)
     elif name.startswith("d-"):
@@ -45,24 +51,24 @@
         cluster.start_target(name.removeprefix("t-"))
 
 
-def all_in_step(context):
+def is_group_consistent(context):
     rows = statuses(context).values()
     terms = {(row.leader, row.term, row.applied) for row in rows}
-    everybody = len(rows) == len(context.cluster.control_names)
-    return everybody and len(terms) == 1 and all(row.leader for row in rows)
+    is_complete = len(rows) == len(context.cluster.control_names)
+    return is_complete and len(terms) == 1 and all(row.leader for row in rows)
 
 
 def grants(context):
-    _, found = plumbing.records(context.client, CALL_S)
+    _, found = plumbing.records(context.client, CALL_TIMEOUT_S)
     return [record for record in found if isinstance(record, ShardGrant)]
 
 
 def target_member(context, name):
-    _, found = plumbing.records(context.client, CALL_S)
+    _, found = plumbing.records(context.client, CALL_TIMEOUT_S)
     return next(r for r in found if isinstance(r, TargetMember) and r.target == name)
 
 
-def balanced(context):
+def is_balanced(context):
     rows = grants(context)
     owners = {row.owner for row in rows}
     settled = all(row.owner and not row.moving_to for row in rows)
@@ -70,22 +76,26 @@
 
 
 def set_zones(context, state, *names, last=False):
-    """Change the state of availability zones; return when the last one is in force."""
+    """Change the state of availability zones; return when the last is in force."""
     for name in names:
         zone = AvailabilityZone(name, state=state)
         change_id = plumbing.new_change_id()
-        plumbing.apply_resource(context.client, zone, change_id, HEAL_S, last)
+        plumbing.apply_resource(
+            context.client, zone, change_id, RECOVERY_TIMEOUT_S, last
+        )
 
 
 def keys_of(context, names):
-    """Return keys that the targets among the process names own."""
+    """Return the keys that are owned by the targets of the named processes."""
     owners = {name.partition("-")[2] for name in names}
     owned = {row.shard for row in grants(context) if row.owner in owners}
-    return [key for key in KEYS if shard_of(hash_key("booking", key), SHARDS) in owned]
+    return [
+        key for key in KEYS if shard_of(hash_key("booking", key), SHARD_COUNT) in owned
+    ]
 
 
-def counts(cluster, name):
-    """Return what a target counted; it has to be running."""
+def target_counts(cluster, name):
+    """Return the counters of a running target."""
     port = cluster.ports_by_name[name].target
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     try:
@@ -100,7 +110,7 @@
 
 
 def statuses(context):
-    """Return by name what the control VMs that answer say of the group."""
+    """Return the status of the group at each control VM that answers, by its name."""
     found = {}
     for name in context.cluster.control_names:
         try:
@@ -111,7 +121,7 @@
 
 
 def leader(context):
-    """Return the status of the leader that most of those who answer follow."""
+    """Return the status of the leader that most answering control VMs follow."""
     found = []
 
     def is_led():
@@ -121,10 +131,10 @@
         found[:] = [r for r in leading if names.count(r.member) * 2 > len(names)]
         return found
 
-    wait_until(is_led, HEAL_S, "a leader")
+    wait_until(is_led, RECOVERY_TIMEOUT_S, "a leader")
     return found[0]
 
 
 def follower(context):
-    led = leader(context).member
-    return next(name for name in statuses(context) if name != led)
+    leader_name = leader(context).member
+    return next(name for name in statuses(context) if name != leader_name)
