--- a/benches/_model_fleet.py
+++ b/benches/_model_fleet.py
@@ -6,7 +6,7 @@
 
 from tamarackhaven.errors import ErrorKind
 
-SHARDS = 64
+SHARD_COUNT = 64
 INTER_ZONE_DELAY_S = 0.0005
 # Time from an operator's change of a zone until its shards have moved.
 REASSIGN_DELAY_S = 0.4
@@ -45,7 +45,7 @@
         ]
         self.daemons = [make_daemon(sim, target) for target in self.targets]
         self._grant = 1
-        self._owner_by_shard = [n % shape.targets for n in range(SHARDS)]
+        self._owner_by_shard = [n % shape.targets for n in range(SHARD_COUNT)]
         for shard, owner in enumerate(self._owner_by_shard):
             self._own(shard, owner)
 
@@ -56,7 +56,7 @@
 
     def deliver(self, request, reply):
         """Deliver a try to the owner's daemon, and its reply to the caller."""
-        shard = request.key % SHARDS
+        shard = request.key % SHARD_COUNT
         entry = self._sim.rng.randrange(self._shape.targets)
         delay_s = self._shape.caller_delay_s
         if entry != self._owner_by_shard[shard]:
@@ -112,7 +112,7 @@
             )
 
     def _return_shards(self, zone, step, steps):
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             home = shard % self._shape.targets
             # The shards of one target are ``targets`` apart.
             index = shard // self._shape.targets
--- a/benches/_model_run.py
+++ b/benches/_model_run.py
@@ -94,7 +94,7 @@
             self.lookup_s.append(request.answered_s)
 
     def percentile_ms(self, fraction):
-        """Return a percentile of the latencies of answered lookups, in milliseconds."""
+        """Return a percentile of the latencies of lookups answered in time, in ms."""
         ordered = sorted(self.lookup_s)
         return 1000 * ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
--- a/benches/bench_control.py
+++ b/benches/bench_control.py
@@ -91,10 +91,10 @@
         start = time.monotonic()
         with ThreadPoolExecutor(writers) as executor:
             list(executor.map(put_zone, [client] * COMMITS))
-        took = time.monotonic() - start
+        elapsed_s = time.monotonic() - start
         syncs = gauge(cluster, leader, "tamarackhaven_control_syncs") - before
         client.close()
-        print(f"| {writers} | {COMMITS} | {COMMITS / took:.0f} | ", end="")
+        print(f"| {writers} | {COMMITS} | {COMMITS / elapsed_s:.0f} | ", end="")
         print(f"{syncs / COMMITS:.2f} |")
 
 
@@ -129,7 +129,7 @@
         leases.append(lease)
     ready.put(len(leases))
     start = time.process_time()
-    begun = time.monotonic()
+    started_s = time.monotonic()
     stop.wait()
     cpu = time.process_time() - start
     held = sum(lease.holds() for lease in leases)
@@ -137,7 +137,7 @@
     for lease in leases:
         lease.stop()
     client.close()
-    result.put((cpu / (time.monotonic() - begun), held, lost))
+    result.put((cpu / (time.monotonic() - started_s), held, lost))
 
 
 def bench_leases(cluster):
@@ -207,19 +207,19 @@
         cluster.start(RESOURCES)
         outages = {"owner": [], "leader": [], "both": []}
         for number in range(rounds):
-            what = list(outages)[number % 3]
-            outages[what].append(measure_loss(cluster, what, f"t{number % 4}"))
+            killed = list(outages)[number % 3]
+            outages[killed].append(measure_loss(cluster, killed, f"t{number % 4}"))
     finally:
         cluster.stop()
-    for what, times in outages.items():
+    for killed, times in outages.items():
         row = f"{statistics.median(times):.2f} | {max(times):.2f}"
-        print(f"| {what} | {len(times)} | {row} |")
+        print(f"| {killed} | {len(times)} | {row} |")
 
 
-def measure_loss(cluster, what, name):
+def measure_loss(cluster, killed, name):
     """Kill processes, return the outage of one key of target ``name``, and repair.
 
-    ``what`` is ``owner``, ``leader`` or ``both``; the outage is in seconds.
+    ``killed`` is ``owner``, ``leader`` or ``both``; the outage is in seconds.
     """
     from tamarackhaven._keys import hash_key, shard_of
 
@@ -232,14 +232,14 @@
     port = cluster.ports_by_name[other].caller
     assert ask(port, "s", key).status == 200
     leader = cluster.leader()
-    victims = [] if what == "leader" else [f"t-{name}", f"d-{name}"]
-    victims += [] if what == "owner" else [leader]
+    victims = [] if killed == "leader" else [f"t-{name}", f"d-{name}"]
+    victims += [] if killed == "owner" else [leader]
     start = time.monotonic()
     cluster.kill(*victims)
     outage = outage_s(port, "s", key, start)
-    if what != "owner":
+    if killed != "owner":
         cluster.start_control(leader)
-    if what != "leader":
+    if killed != "leader":
         cluster.start_target(name)
         cluster.start_daemon(name)
         wait_until(lambda: owns(cluster, name), 60, f"{name} owns shards again")
--- a/benches/bench_path.py
+++ b/benches/bench_path.py
@@ -28,7 +28,7 @@
 OWNER = "t1"
 TARGETS = (OWNER, "t2")
 SHARDS = range(4)
-WARM_UP = 200
+WARM_UP_REQUESTS = 200
 PATH = "/s/k"
 
 
@@ -85,7 +85,7 @@
         for way, port in port_by_way.items()
     }
     latencies_by_way = {way: [] for way in port_by_way}
-    for number in range(requests + WARM_UP):
+    for number in range(requests + WARM_UP_REQUESTS):
         for way, connection in connection_by_way.items():
             started = time.perf_counter()
             connection.request("GET", PATH, headers={"Tamarackhaven-Request-Id": "r"})
@@ -94,7 +94,7 @@
             latency_ms = (time.perf_counter() - started) * 1000
             if response.status != http.client.OK:
                 raise SystemExit(f"{way}: HTTP {response.status}")
-            if number >= WARM_UP:
+            if number >= WARM_UP_REQUESTS:
                 latencies_by_way[way].append(latency_ms)
     return latencies_by_way
 
--- a/benches/bench_placement.py
+++ b/benches/bench_placement.py
@@ -302,23 +302,26 @@
     """Add the moved shards and the loads of targets in one step to ``tally``."""
     eligible = world.eligible()
     total = sum(load.values())
-    fair = total / len(eligible)
-    arrived_load, held_load = dict.fromkeys(eligible, 0.0), dict.fromkeys(eligible, 0.0)
+    fair_load = total / len(eligible)
+    arrived_load_by_target, held_load_by_target = (
+        dict.fromkeys(eligible, 0.0),
+        dict.fromkeys(eligible, 0.0),
+    )
     for shard, owner in after.items():
-        if owner in held_load:
-            held_load[owner] += load.get(shard, 0.0)
+        if owner in held_load_by_target:
+            held_load_by_target[owner] += load.get(shard, 0.0)
         if shard in before and owner != before[shard]:
             tally.moved += 1
-            if owner in arrived_load:
-                arrived_load[owner] += load.get(shard, 0.0)
+            if owner in arrived_load_by_target:
+                arrived_load_by_target[owner] += load.get(shard, 0.0)
     tally.max_arriving_load = max(
-        tally.max_arriving_load, max(arrived_load.values()) / fair
+        tally.max_arriving_load, max(arrived_load_by_target.values()) / fair_load
     )
     for name, warmth in world.warmth().items():
-        if warmth < 1.0 and name in held_load:
-            over = held_load[name] / (fair * warmth)
-            tally.max_cold_load = max(tally.max_cold_load, over)
-    tally.imbalance = max(held_load.values()) / fair - 1.0
+        if warmth < 1.0 and name in held_load_by_target:
+            relative_load = held_load_by_target[name] / (fair_load * warmth)
+            tally.max_cold_load = max(tally.max_cold_load, relative_load)
+    tally.imbalance = max(held_load_by_target.values()) / fair_load - 1.0
 
 
 def run_events(placement):
--- a/benches/bench_shared.py
+++ b/benches/bench_shared.py
@@ -46,7 +46,7 @@
 
 
 class SharedCluster(Cluster):
-    """A cluster of a shared service, which is ready once all targets are active."""
+    """A cluster whose keys have no owners: ready once all targets are active."""
 
     def all_owned(self):
         """Return whether all targets are active."""
--- a/benches/bench_tick.py
+++ b/benches/bench_tick.py
@@ -19,7 +19,7 @@
 from tamarackhaven.routing import Configuration, ServiceSpec
 
 SERVICE = "owned"
-TARGETS = 20
+TARGET_COUNT = 20
 SILENT_TARGETS = 5
 LEASE_S = 4.0
 RANGE_COUNTS = (100, 1000)
@@ -40,7 +40,7 @@
     services = (ServiceSpec(SERVICE, sharded=True),)
     state.apply(1, ReplaceConfiguration(0, Configuration(1, services), "1"))
     size = KEY_COUNT // ranges
-    owners = itertools.cycle(target(number).life for number in range(TARGETS))
+    owners = itertools.cycle(target(number).life for number in range(TARGET_COUNT))
     new = [
         KeyRange(
             number * size,
@@ -60,7 +60,7 @@
     now = 100.0
     leader = Leadership(1, LEASE_S, now)
     now += 2 * LEASE_S
-    for number in range(SILENT_TARGETS, TARGETS):
+    for number in range(SILENT_TARGETS, TARGET_COUNT):
         leader.report(Report(1, target(number)), now)
     for _ in range(ticks):
         leader.tick(state, now)
--- a/benches/measure.py
+++ b/benches/measure.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Play:
+class DayRun:
     """A day of a site with a seed; 0 stands for the day's own seed."""
 
     site: Path
@@ -63,50 +63,53 @@
         )
 
 
-def play(player, checkout, one, folder):
+def run_day(player, checkout, day_run, folder):
     """Simulate a day with a checkout; return its ``Result``."""
-    name = f"{checkout.name}-{one.name}".replace(" ", "-")
+    name = f"{checkout.name}-{day_run.name}".replace(" ", "-")
     report = folder / f"{name}.json"
-    command = [player, "run", str(one.site), one.day, "--no-cpu"]
+    command = [player, "run", str(day_run.site), day_run.day, "--no-cpu"]
     command += ["--report", str(report), "--why", f"measure: {checkout.name}"]
-    if one.seed:
-        command += ["--seed", str(one.seed)]
+    if day_run.seed:
+        command += ["--seed", str(day_run.seed)]
     log = (folder / f"{name}.log").open("w")
     with log:
         subprocess.run(command, cwd=checkout, stdout=log, stderr=log)
     return Result.read(report)
 
 
-def show(plays, checkouts, result_by_key):
+def show(day_runs, checkouts, result_by_key):
     """Print a line for each day, then the means of each checkout and its mean gains.
 
     Gains are over the first checkout.
     """
-    width = max(len(one.name) for one in plays)
-    for one in plays:
+    width = max(len(day_run.name) for day_run in day_runs)
+    for day_run in day_runs:
         cells = []
         for checkout in checkouts:
-            result = result_by_key[checkout, one]
+            result = result_by_key[checkout, day_run]
             worth = "-" if result.worth is None else f"{result.worth:.3f}"
             cells.append(f"{worth}{'!' if result.broken else ' '}")
-        print(f"{one.name:{width}}  {'  '.join(cells)}")
+        print(f"{day_run.name:{width}}  {'  '.join(cells)}")
         for checkout in checkouts:
-            for broken in result_by_key[checkout, one].broken:
+            for broken in result_by_key[checkout, day_run].broken:
                 print(f"{'':{width}}  {checkout.name}: {broken}")
     for checkout in checkouts:
-        _show_means(checkout, checkouts[0], plays, result_by_key)
+        _show_means(checkout, checkouts[0], day_runs, result_by_key)
 
 
-def _show_means(checkout, first, plays, result_by_key):
-    pairs = [(result_by_key[checkout, one], result_by_key[first, one]) for one in plays]
+def _show_means(checkout, first, day_runs, result_by_key):
+    pairs = [
+        (result_by_key[checkout, day_run], result_by_key[first, day_run])
+        for day_run in day_runs
+    ]
     pairs = [(a, b) for a, b in pairs if None not in (a.worth, b.worth)]
     if not pairs:
         return
     worth = statistics.fmean(a.worth for a, _ in pairs)
     gains = [a.worth - b.worth for a, b in pairs]
     gain = statistics.fmean(gains)
-    spread = statistics.stdev(gains) / len(gains) ** 0.5 if len(gains) > 1 else 0.0
-    print(f"\n{checkout.name}: worth {worth:.4f}, gain {gain:+.4f} +- {spread:.4f}")
+    std_error = statistics.stdev(gains) / len(gains) ** 0.5 if len(gains) > 1 else 0.0
+    print(f"\n{checkout.name}: worth {worth:.4f}, gain {gain:+.4f} +- {std_error:.4f}")
     for name in pairs[0][0].parts:
         _show_mean(name, [(a.parts[name], b.parts[name]) for a, b in pairs])
     for name in pairs[0][0].prices:
@@ -151,19 +154,19 @@
     jobs
         Number of days simulated at a time.
     """
-    plays = [
-        Play(place.resolve(), name, number)
+    day_runs = [
+        DayRun(place.resolve(), name, number)
         for place in site
         for name in day
         for number in seed or [0]
     ]
     checkouts = [each.resolve() for each in checkout]
-    keys = [(each, one) for one in plays for each in checkouts]
+    keys = [(each, day_run) for day_run in day_runs for each in checkouts]
     folder = Path(tempfile.mkdtemp(prefix="measure-"))
     print(f"logs in {folder}")
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        results = pool.map(lambda key: play(player, *key, folder), keys)
-        show(plays, checkouts, dict(zip(keys, results, strict=True)))
+        results = pool.map(lambda key: run_day(player, *key, folder), keys)
+        show(day_runs, checkouts, dict(zip(keys, results, strict=True)))
 
 
 if __name__ == "__main__":
