--- a/benches/measure.py
+++ b/benches/measure.py
@@ -1,8 +1,9 @@
-"""Plays the same days for several checkouts in turn, and compares what they earn.
+"""Simulates the same days with several checkouts, and compares their scores.
 
-One run is no measurement: a change counts if it is better over days and seeds by more
-than their spread. The program that plays a day is given by the caller; it must take
-``run SITE DAY --seed N --no-cpu --report FILE`` in a checkout's folder.
+A single run says little: a change is an improvement only if its mean gain over days and
+seeds exceeds its standard error. The program that simulates a day is given on the
+command line; it must accept ``run SITE DAY --seed N --no-cpu --report FILE --why TEXT``
+in a checkout's folder.
 """
 
 import concurrent.futures
@@ -15,13 +16,13 @@
 import attrs
 import defopt
 
-# Prices below this are left out of the table, as parts of a day's worth.
-SMALL_PRICE = 0.002
+# Prices below this fraction of a day's worth are left out of the table.
+MIN_PRICE_SHOWN = 0.002
 
 
 @attrs.frozen
-class Play:
-    """One day of a site under one seed; seed 0 is the day's own."""
+class DayRun:
+    """A day of a site with a seed; 0 stands for the day's own seed."""
 
     site: Path
     day: str
@@ -29,13 +30,13 @@
 
     @property
     def name(self):
-        """What the tables call it."""
+        """Label in the tables."""
         return f"{self.site.stem} {self.day} {self.seed or ''}".strip()
 
 
 @attrs.frozen
 class Result:
-    """What one checkout earned on one day; None where nothing was reported."""
+    """Scores of one checkout on one day; ``worth`` is None without a report."""
 
     worth: float | None
     parts: dict
@@ -45,7 +46,7 @@
 
     @classmethod
     def read(cls, path):
-        """Return the result in a report, or one that is empty."""
+        """Return the result in a report, or an empty one if it can't be read."""
         try:
             report = json.loads(path.read_text())
         except (OSError, json.JSONDecodeError):
@@ -62,52 +63,58 @@
         )
 
 
-def play(player, checkout, one, folder):
-    """Play a day in a checkout; return its ``Result``."""
-    name = f"{checkout.name}-{one.name}".replace(" ", "-")
+def run_day(player, checkout, day_run, folder):
+    """Simulate a day with a checkout; return its ``Result``."""
+    name = f"{checkout.name}-{day_run.name}".replace(" ", "-")
     report = folder / f"{name}.json"
-    command = [player, "run", str(one.site), one.day, "--no-cpu"]
+    command = [player, "run", str(day_run.site), day_run.day, "--no-cpu"]
     command += ["--report", str(report), "--why", f"measure: {checkout.name}"]
-    if one.seed:
-        command += ["--seed", str(one.seed)]
+    if day_run.seed:
+        command += ["--seed", str(day_run.seed)]
     log = (folder / f"{name}.log").open("w")
     with log:
         subprocess.run(command, cwd=checkout, stdout=log, stderr=log)
     return Result.read(report)
 
 
-def show(plays, checkouts, result_by_key):
-    """Print one line a day, then each checkout's means against the first one's."""
-    width = max(len(one.name) for one in plays)
-    for one in plays:
+def show(day_runs, checkouts, result_by_key):
+    """Print a line for each day, then the means of each checkout and its mean gains.
+
+    Gains are over the first checkout.
+    """
+    width = max(len(day_run.name) for day_run in day_runs)
+    for day_run in day_runs:
         cells = []
         for checkout in checkouts:
-            result = result_by_key[checkout, one]
+            result = result_by_key[checkout, day_run]
             worth = "-" if result.worth is None else f"{result.worth:.3f}"
             cells.append(f"{worth}{'!' if result.broken else ' '}")
-        print(f"{one.name:{width}}  {'  '.join(cells)}")
+        print(f"{day_run.name:{width}}  {'  '.join(cells)}")
         for checkout in checkouts:
-            for broken in result_by_key[checkout, one].broken:
+            for broken in result_by_key[checkout, day_run].broken:
                 print(f"{'':{width}}  {checkout.name}: {broken}")
     for checkout in checkouts:
-        _show_means(checkout, checkouts[0], plays, result_by_key)
+        _show_means(checkout, checkouts[0], day_runs, result_by_key)
 
 
-def _show_means(checkout, first, plays, result_by_key):
-    pairs = [(result_by_key[checkout, one], result_by_key[first, one]) for one in plays]
+def _show_means(checkout, first, day_runs, result_by_key):
+    pairs = [
+        (result_by_key[checkout, day_run], result_by_key[first, day_run])
+        for day_run in day_runs
+    ]
     pairs = [(a, b) for a, b in pairs if None not in (a.worth, b.worth)]
     if not pairs:
         return
     worth = statistics.fmean(a.worth for a, _ in pairs)
     gains = [a.worth - b.worth for a, b in pairs]
     gain = statistics.fmean(gains)
-    spread = statistics.stdev(gains) / len(gains) ** 0.5 if len(gains) > 1 else 0.0
-    print(f"\n{checkout.name}: worth {worth:.4f}, gain {gain:+.4f} +- {spread:.4f}")
+    std_error = statistics.stdev(gains) / len(gains) ** 0.5 if len(gains) > 1 else 0.0
+    print(f"\n{checkout.name}: worth {worth:.4f}, gain {gain:+.4f} +- {std_error:.4f}")
     for name in pairs[0][0].parts:
         _show_mean(name, [(a.parts[name], b.parts[name]) for a, b in pairs])
     for name in pairs[0][0].prices:
         values = [(a.prices[name], b.prices[name]) for a, b in pairs]
-        if max(max(pair) for pair in values) >= SMALL_PRICE:
+        if max(max(pair) for pair in values) >= MIN_PRICE_SHOWN:
             _show_mean(f"price: {name}", values)
     for number in range(len(pairs[0][0].kinds)):
         values = [(a.kinds[number], b.kinds[number]) for a, b in pairs]
@@ -130,36 +137,36 @@
     seed: list[int] | None = None,
     jobs: int = 3,
 ):
-    """Play days for several checkouts and print what they earn.
+    """Simulate days with several checkouts and print their scores.
 
     Parameters
     ----------
     player
-        Program that plays a day.
+        Program that simulates a day.
     site
         Site files.
     day
         Names or files of days.
     checkout
-        Folders of checkouts; the first one is what the others are compared with.
+        Folders of checkouts; the others are compared with the first one.
     seed
-        Luck of the days; 0, the default, is each day's own.
+        Seeds of the days; 0, the default, is each day's own seed.
     jobs
-        Days at a time.
+        Number of days simulated at a time.
     """
-    plays = [
-        Play(place.resolve(), name, number)
+    day_runs = [
+        DayRun(place.resolve(), name, number)
         for place in site
         for name in day
         for number in seed or [0]
     ]
     checkouts = [each.resolve() for each in checkout]
-    keys = [(each, one) for one in plays for each in checkouts]
+    keys = [(each, day_run) for day_run in day_runs for each in checkouts]
     folder = Path(tempfile.mkdtemp(prefix="measure-"))
     print(f"logs in {folder}")
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        results = pool.map(lambda key: play(player, *key, folder), keys)
-        show(plays, checkouts, dict(zip(keys, results, strict=True)))
+        results = pool.map(lambda key: run_day(player, *key, folder), keys)
+        show(day_runs, checkouts, dict(zip(keys, results, strict=True)))
 
 
 if __name__ == "__main__":
