--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -181,7 +181,7 @@
         signal.signal(signal.SIGHUP, before)
 
 
-def test_regression_seeds_and_a_short_run_pass():
+def test_runs_that_once_failed_and_a_short_one_pass():
     # The full soak is run manually with many new seeds.
     assert main(seeds=1, first=11, seconds=12.0, jobs=4, regressions=True) == 0
 
