--- a/benches/_model_daemons.py
+++ b/benches/_model_daemons.py
@@ -93,12 +93,12 @@
         self._next_tick_s = float("inf")
         sim.after(REPORT_INTERVAL_S, self._read_report)
 
-    def own(self, shard, grant, since_s):
+    def adopt_shard(self, shard, grant, since_s):
         """Start to own a shard that no former owner handed over."""
         self.grant_by_shard[shard] = grant
         self.ledger.adopt("s", shard, grant, since_s)
 
-    def inherit(self, shard, grant, part):
+    def import_shard(self, shard, grant, part):
         """Start to own a shard with the former owner's part of the ledger.
 
         Without that part, the shard counts as owned since now.
--- a/benches/_model_fleet.py
+++ b/benches/_model_fleet.py
@@ -52,7 +52,7 @@
     def _own(self, shard, owner):
         daemon = self.daemons[owner]
         if isinstance(daemon, GatedDaemon):
-            daemon.own(shard, self._grant, OWNED_SINCE_S)
+            daemon.adopt_shard(shard, self._grant, OWNED_SINCE_S)
 
     def deliver(self, request, reply):
         """Deliver a try to the owner's daemon, and its reply to the caller."""
@@ -93,7 +93,7 @@
         part = self.daemons[old].release(shard)
         self._grant += 1
         grant = part.grant + 1
-        self.daemons[new].inherit(shard, grant, part)
+        self.daemons[new].import_shard(shard, grant, part)
 
     def zone_in(self, zone):
         """Bring a zone back with cold targets.
--- a/benches/bench_path.py
+++ b/benches/bench_path.py
@@ -99,20 +99,20 @@
     return latencies_by_way
 
 
-def _measure_all(port_by_way, requests, clients):
+def _measure_all(port_by_way, requests, callers):
     found = []
     threads = [
         threading.Thread(
-            target=lambda: found.append(_measure(port_by_way, requests // clients))
+            target=lambda: found.append(_measure(port_by_way, requests // callers))
         )
-        for _ in range(clients)
+        for _ in range(callers)
     ]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    if len(found) < clients:
-        raise SystemExit("a client failed")
+    if len(found) < callers:
+        raise SystemExit("a caller failed")
     return {way: sum((part[way] for part in found), []) for way in port_by_way}
 
 
@@ -127,7 +127,7 @@
         print(f"{way:<14}{mean:>9.3f}{p99:>9.3f}{ratios}")
 
 
-def run(requests, clients, service_ms):
+def run(requests, callers, service_ms):
     """Start all processes, measure and print latencies, and stop the processes."""
     processes = []
     try:
@@ -153,7 +153,7 @@
             "one daemon": ports_by_name[OWNER]["caller"],
             "two daemons": ports_by_name["t2"]["caller"],
         }
-        _print_latencies(_measure_all(port_by_way, requests, clients))
+        _print_latencies(_measure_all(port_by_way, requests, callers))
         for name, daemon in daemon_by_name.items():
             print(f"memory of the daemon of {name}: {_memory_mb(daemon):.1f} MB")
     finally:
--- a/features/steps/cluster_steps.py
+++ b/features/steps/cluster_steps.py
@@ -145,7 +145,7 @@
     def is_moved():
         return all(row.owner not in ("", name) for row in grants(context))
 
-    wait_until(is_moved, seconds, f"all shards of {name} elsewhere")
+    wait_until(is_moved, seconds, f"all shards of {name} at other targets")
     context.measured.append(f"moved within {time.monotonic() - start:.1f} s")
 
 
--- a/features/support.py
+++ b/features/support.py
@@ -31,7 +31,7 @@
     wait_until(
         lambda: is_group_consistent(context),
         RECOVERY_TIMEOUT_S,
-        "every control VM has all",
+        "all control VMs in the same state",
     )
     # For the time of a lease after its start, a control VM takes every target for one
     # that was promised a lease, and grants nothing.
