--- a/tamarackhaven/_caller_app.py
+++ b/tamarackhaven/_caller_app.py
@@ -4,7 +4,7 @@
 
 
 def caller_app(path):
-    """Return a WSGI application that answers each request by ``path``."""
+    """Return a WSGI application that answers each request by a ``RequestPath``."""
 
     def app(environ, start_response):
         answer = path.from_caller(raw_request(environ), caller_gone_check(environ))
--- a/tamarackhaven/_control_client.py
+++ b/tamarackhaven/_control_client.py
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class MemberStatus:
-    """The consensus group as one control VM reports it."""
+    """Status of one control VM and its view of the group."""
 
     member: str
     role: str
@@ -68,7 +68,7 @@
         """Send a change and return its ``Outcome``.
 
         It is resent to another control VM if one gives no answer: a change with a
-        change id gets its first outcome, and the others are harmless if applied twice.
+        change id gets its first outcome, and changes without an id are idempotent.
 
         Raises
         ------
@@ -87,7 +87,14 @@
         return self._call_any_member(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def change_membership(self, step, timeout_s):
-        """Add, promote or remove a member of the group; return the ``Outcome``."""
+        """Add, promote or remove a member of the group; return the ``Outcome``.
+
+        Raises
+        ------
+        TamarackhavenError
+            CHANGE_UNCONFIRMED if no control VM answered with an outcome within
+            ``timeout_s`` seconds.
+        """
         request = pb.MembershipRequest(step=_codec.dumps(step, Step))
 
         async def call(stub, attempt_timeout_s):
@@ -99,7 +106,7 @@
         return self._call_any_member(call, timeout_s, ErrorKind.CHANGE_UNCONFIRMED)
 
     def fetch(self, from_version, timeout_s, linearizable=False):
-        """Return the ``Feed`` since a version; a linearizable one is the leader's."""
+        """Return the ``Feed`` since a version, from the leader if ``linearizable``."""
         request = pb.FetchRequest(from_version=from_version, linearizable=linearizable)
 
         async def call(stub, attempt_timeout_s):
@@ -157,10 +164,16 @@
         )
 
     def watch(self, from_version, timeout_s):
-        """Yield each newer ``Feed`` without end, from any member that answers.
+        """Yield each newer ``Feed``, from any member that answers.
 
         A feed that isn't newer than the last one is skipped, so a member that lags
         never takes the watcher back to an older version.
+
+        Raises
+        ------
+        TamarackhavenError
+            CONTROL_UNREACHABLE if no member answers within ``timeout_s`` seconds; this
+            ends the iteration.
         """
         version = from_version
         while True:
@@ -237,5 +250,5 @@
 
 
 def _is_retryable(code):
-    """Return whether a retry at any control VM may give another outcome."""
+    """Return whether the call should be retried at another control VM."""
     return code in (ErrorKind.NO_QUORUM.value, ErrorKind.CHANGE_UNCONFIRMED.value)
--- a/tamarackhaven/_control_services.py
+++ b/tamarackhaven/_control_services.py
@@ -106,7 +106,8 @@
     peers : Peers
         Connections to the other members, among them the leader.
     leader : LeaderDuties
-        The leader's state outside the log: load reports and silent targets.
+        The leader's state outside the log: load reports, decisions not to move shards,
+        and fence rounds of targets that stopped renewing their leases.
     version_waiters : VersionWaiters
         Wakes watchers when a version is applied.
     """
@@ -117,6 +118,7 @@
         self._peers = peers
         self._leader = leader
         self._version_waiters = version_waiters
+        # Cache key of a feed, see ``_pack_events``, and the feed's packed events.
         self._packed_cache = None, b""
 
     async def Change(self, stream):  # noqa: N802
@@ -187,7 +189,7 @@
         )
 
     async def Fetch(self, stream):  # noqa: N802
-        """Answer the events since a version; wait up to ``wait_ms`` for newer ones."""
+        """Reply with events since a version; wait up to ``wait_ms`` for one."""
         request = await stream.recv_message()
         if request.linearizable:
             leader = self._leader_stub()
@@ -215,9 +217,10 @@
     def _pack_events(self, feed):
         """Return the feed's events as bytes, cached for the newest feed.
 
-        1,500 daemons fetch the same change within a moment. Packed for each of them,
-        4,096 changed shards would take a minute of processor time. One cached feed is
-        sufficient, as nearly all daemons fetch from the same version.
+        At the same time, 1,500 daemons may fetch the same change. If 4,096 changed
+        shards were packed again for each of them, this would take a minute of processor
+        time. One cached feed is sufficient, as nearly all daemons fetch from the same
+        version.
         """
         if not feed.events:
             return b""
@@ -228,7 +231,10 @@
         return self._packed_cache[1]
 
     async def Explain(self, stream):  # noqa: N802
-        """Answer recorded decisions; only the leader has those against a move."""
+        """Reply with recorded decisions.
+
+        Only the leader records decisions not to move a shard.
+        """
         request = await stream.recv_message()
         leader = self._leader_stub()
         if leader is not None:
@@ -258,6 +264,7 @@
         if resource is None or not key:
             return None
         key_hash = _keys.hash_key(service, key)
+        # A pinned key has a shard of its own, which comes before its ordinary shard.
         for grant in self._machine.state.grants(service).values():
             if grant.key_hash == key_hash:
                 return grant.shard
@@ -276,7 +283,7 @@
         await stream.send_message(pb.ReportReply())
 
     async def Status(self, stream):  # noqa: N802
-        """Answer this member's view of the group."""
+        """Reply with this member's view of the group."""
         await stream.recv_message()
         status = self._consensus.status()
         await stream.send_message(
--- a/tamarackhaven/_fence_round.py
+++ b/tamarackhaven/_fence_round.py
@@ -1,13 +1,19 @@
-"""Collects fences from a majority of voters before the leader retires an epoch."""
+"""Collects fences from a majority of voters before the leader retires an epoch.
+
+A fence round asks the voters to refuse one epoch of a target, until a majority has.
+"""
 
 import attrs
 
 from tamarackhaven._lease_times import MS_PER_S, promise_s, renew_s
 from tamarackhaven._model import TargetState
 
-# A target that has just joined must first receive its epoch and renew. It owns no
-# shards yet, so no key is without service during this wait.
+# Wait, in promise times, before an epoch is fenced to which this process has never
+# promised: the target has just joined and must first receive its epoch and renew, or
+# this process has restarted and doesn't know the promises that it made before.
+# A target that has just joined owns no shards yet, so no key is without service then.
 _JOIN_GRACE_PROMISE_TIMES = 3
+# Bounds the rate of requests to a voter that answers that its promise ends sooner.
 _MIN_RETRY_S = 0.005
 
 
@@ -23,7 +29,7 @@
 
 @attrs.frozen
 class Retire:
-    """An epoch that a majority has fenced and that must be retired immediately."""
+    """An epoch that a majority has fenced; the leader retires it immediately."""
 
     service: str
     target: str
@@ -115,7 +121,7 @@
         return asks
 
     def _restart_if_not_retired(self, fence_round, now):
-        """Start the round again if a retirement wasn't committed in a promise time."""
+        """Restart the round if a retirement isn't committed within a promise time."""
         at = fence_round.retired_at_s
         if at is not None and now - at >= self._promise_s:
             fence_round.retired_at_s = None
@@ -126,8 +132,9 @@
         """Return the voters to ask, the leader's own VM last.
 
         If only the path between a daemon and the leader is cut, the other voters refuse
-        and nothing must be fenced: a fence is permanent, and the healthy daemon would
-        have to rejoin as soon as the path is restored.
+        to fence. The leader's own VM must not fence then either: a fence is permanent,
+        and the healthy daemon would have to rejoin as soon as the path is restored.
+        It is therefore asked only when its fence would complete the majority.
         """
         fenced = self._fenced(fence_round)
         missing = [voter for voter in self._voters if voter not in fenced]
--- a/tamarackhaven/_fences.py
+++ b/tamarackhaven/_fences.py
@@ -1,4 +1,7 @@
-"""Durable record of the epochs that this control VM has fenced."""
+"""Durable record of the epochs that this control VM has fenced.
+
+The file holds one record with all fences and is replaced as a whole.
+"""
 
 import pathlib
 import threading
@@ -38,6 +41,8 @@
         self._files = files
         self._failure = None
         self._lock = threading.Lock()
+        # Replaced by a new dict at each fence and never changed in place, so it may be
+        # read without the lock.
         self.epochs_by_target = epochs_by_target
 
     @classmethod
@@ -74,7 +79,8 @@
         Raises
         ------
         TamarackhavenError
-            SYNC_FAILED or DISK_FULL; after a failure every later call raises it again.
+            SYNC_FAILED or DISK_FULL. A failed replacement leaves either the old or
+            the new content in the file; every later call raises the failure again.
         """
         # When two targets are lost at the same time, two threads replace the file.
         # Without the lock, one could remove the other's new file, or overwrite a fence
--- a/tamarackhaven/_http_server.py
+++ b/tamarackhaven/_http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers based on ``waitress``, with all errors taken from the error table."""
+"""HTTP servers on ``waitress``; errors are answered by ``errors.ANSWER_BY_KIND``."""
 
 import http.client
 import logging
@@ -24,7 +24,8 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 MAX_HEADER_BYTES = 16 * 1024
-# Services set smaller limits; this one limits the memory used for each request.
+# Limits the memory used for each request. Services may set smaller limits; a larger one
+# doesn't raise this one.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 _LISTEN_BACKLOG = 1024
 _MAX_CONNECTIONS = 2000
@@ -32,6 +33,8 @@
 # Longer than usual deadlines. A drain has already waited for running requests.
 _STOP_TIMEOUT_S = 5.0
 _STOP_LOOP_TIMEOUT_S = 0.02
+# A connection without a request is closed at a stop only after this time without input,
+# so that bytes in transit have arrived.
 _MIN_QUIET_S = 0.1
 _RECEIVED_KEY = "tamarackhaven.received_s"
 _OVERLOADED_KEY = "tamarackhaven.overloaded"
@@ -86,6 +89,8 @@
 
 
 class _Task(WSGITask):
+    """Runs one request, with its receipt time and overload mark in the environment."""
+
     def build_response_header(self):
         # Checked as late as possible, so that it also applies to answers of requests
         # that were running when the stop began.
@@ -120,9 +125,9 @@
 
     When a target is slow, callers may send more requests than the threads can serve.
     waitress's own queue has neither a limit nor a deadline: its requests would be
-    answered after their callers are gone, and would never reach the gate, which refuses
-    immediately. With as many queued requests as threads, the last one waits for one
-    round of the requests before it.
+    answered after their callers are gone, and would not reach the admission gate, which
+    refuses immediately. At most as many requests are queued as there are threads, so
+    the last one starts after that many requests have finished.
     """
 
     def __init__(self, threads):
@@ -185,9 +190,10 @@
                 self.server.add_task(self)
 
     def is_busy(self):
-        """Return whether a request may be arriving or an answer is being sent."""
+        """Return whether a request runs or may be arriving, or an answer is unsent."""
         if self.requests or self.total_outbufs_len:
             return True
+        # waitress sets last_activity by time.time().
         return time.time() - self.last_activity < _MIN_QUIET_S
 
     def handle_read(self):
@@ -204,7 +210,10 @@
 
 
 def raw_request(environ):
-    """Return the request of a WSGI environment as a ``RawRequest``."""
+    """Read the request of a WSGI environment, including its body from the input.
+
+    It consumes the body, so call it once for each request.
+    """
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
@@ -323,7 +332,7 @@
 
         Requests may arrive until the moment of the stop, and answers may be buffered
         after the application has returned them. Closing their connections would leave
-        callers without knowing whether their bookings ran. Therefore the connections
+        callers without knowing whether their requests ran. Therefore the connections
         queued by the operating system are accepted first, each connection is closed
         after its next answer, and one without a request is closed only after no input
         for ``_MIN_QUIET_S`` seconds, so that bytes in transit have arrived.
@@ -340,6 +349,7 @@
             )
 
     def _stop_listening(self):
+        """Accept the connections that are already queued, then close the listener."""
         server = self._server
         queued = select.poll()
         queued.register(server.socket, select.POLLIN)
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -9,7 +9,7 @@
 
 NO_OWNER_RETRY_AFTER_S = 0.5
 _POLL_INTERVAL_S = 0.01
-# After these another owner may answer; after all others only the same one could.
+# Errors after which the key may have a new owner.
 _NEXT_OWNER_KINDS = RELOCATED_KINDS | {ErrorKind.FORWARD_LOST, ErrorKind.CANCELLED}
 
 
@@ -48,9 +48,10 @@
         self._metrics = metrics
         self._clock = clock
         self._lock = threading.Lock()
-        # All callers of a key without an owner wait. If every thread waited for one,
+        # All callers of a key without an owner wait for a grant. If every thread did,
         # requests for all other keys would be delayed too, so at most half may wait.
         self._max_waiting = max(1, settings.threads // 2)
+        # Number of requests that wait for a newer grant.
         self.waiting = 0
 
     def answer(self, request, located, gone):
@@ -94,8 +95,9 @@
         If the owner's daemon freezes after it received a lookup, the caller would wait
         until its deadline although another target owns the key. Watching the view is
         sufficient, because it shows the new owner as soon as the control group has
-        fenced the frozen one. A booking isn't abandoned: it may have run and must not
-        run elsewhere.
+        fenced the frozen one. The forwarder reports a request stopped by the watch as
+        CALLER_GONE, as if the caller had disconnected. A booking isn't abandoned: it
+        may have run and must not run elsewhere.
         """
         if request.is_booking:
             return self._forwarder.forward(request, located, gone)
@@ -109,7 +111,7 @@
             raise TamarackhavenError(ErrorKind.FORWARD_LOST, detail) from error
 
     def _run_timed(self, request, located, step, gone):
-        """Call ``step`` and record its latency for the target that answered."""
+        """Call ``step``; record the time since the request was received, by target."""
         answer = step(request, located, gone)
         seconds = self._clock.boot_s() - request.received_s
         target = located.grant.owner
@@ -147,6 +149,7 @@
     def _poll_for_newer_grant(self, request, located, gone):
         wait_s = self._settings.forward_wait_ms / 1000
         until_s = min(self._clock.boot_s() + wait_s, request.deadline_s)
+        # Never set; its wait is a sleep.
         pause = threading.Event()
         while self._clock.boot_s() < until_s and not gone():
             newer = find_newer_grant(self._view, request, located)
--- a/tamarackhaven/_raft_election.py
+++ b/tamarackhaven/_raft_election.py
@@ -26,7 +26,7 @@
 
     @property
     def is_won(self):
-        """Whether a majority of the present voters has accepted."""
+        """Whether a majority of the current voters has granted its vote."""
         votes = self._accepted.intersection(self._core.voters)
         return len(votes) >= self._core.quorum
 
@@ -48,6 +48,6 @@
             )
 
     def count(self, reply):
-        """Count one reply."""
+        """Record the vote if the reply grants it."""
         if reply.accepted:
             self._accepted.add(reply.sender)
--- a/tamarackhaven/_retries.py
+++ b/tamarackhaven/_retries.py
@@ -19,12 +19,13 @@
 def owner_retries(threads):
     """Return the ``RetrySettings`` of exclusive services.
 
-    A shard may move, or lose its owner, while every thread has a request for it. With
-    the budget of shared services, all requests beyond its burst would be refused
-    although only a retry at the new owner can reach a target. Therefore each request
-    may be retried once, and the burst allows ten retries for each thread. Two daemons
-    that disagree about the owner for longer use up the budget, and further callers are
-    answered immediately.
+    A shard may move, or lose its owner, while every thread has a request for it. Only
+    a retry at the new owner can then reach a target, and the budget of shared services
+    would refuse all requests beyond its burst.
+
+    Therefore each request may be retried once, and the burst allows ten retries for
+    each thread. If two daemons disagree about the owner for longer, they use up the
+    budget, and further callers are answered immediately.
     """
     return RetrySettings(ratio=0.5, floor_per_s=20.0, burst=10.0 * threads, attempts=2)
 
@@ -53,7 +54,7 @@
         self._lock = threading.Lock()
 
     def succeeded(self):
-        """Count a request that succeeded at its first try."""
+        """Earn retry tokens for a request that succeeded at its first try."""
         with self._lock:
             self._budget.succeeded()
 
@@ -77,7 +78,7 @@
         return True
 
     def count_refusal(self, refusal):
-        """Count a retry that was refused for the ``RetryRefusal``."""
+        """Count a refused retry by its reason, a ``RetryRefusal``."""
         self._metrics.count(_metrics.RETRIES_REFUSED, reason=refusal.value)
 
     def started(self, error):
--- a/tamarackhaven/net/_link.py
+++ b/tamarackhaven/net/_link.py
@@ -11,19 +11,19 @@
 from tamarackhaven.errors import TamarackhavenError
 
 _LENGTH_PREFIX = struct.Struct(">I")
-# Fits the largest body that configurations usually allow, plus its headers.
+# Fits a body of 64 MiB, the largest that a Service may allow, plus headers.
 MAX_FRAME_BYTES = 72 << 20
 # If a peer stops reading, its unsent messages would exhaust this process's memory. A
 # link is aborted beyond this size, which holds some thousand messages of usual size.
 MAX_UNSENT_BYTES = 80 << 20
 # Larger frames are written separately from their length, which saves a copy.
 LARGE_FRAME_BYTES = 65_536
-# Length values that mark a probe and the reply to it; no message follows them.
+# Length values that mark a probe and a probe reply; no message follows them.
 _PING = 0xFFFF_FFFF
 _PONG = 0xFFFF_FFFE
 # If a VM loses power, or a connection goes silent without a reset, writes to it keep
 # succeeding for minutes. The kernel closes the connection when sent bytes stay
-# unacknowledged for this time, which is several round trips between zones.
+# unacknowledged for this time, which is many round trips between zones.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
 # Connecting between availability zones of a region takes a few milliseconds.
 DIAL_TIMEOUT_S = 0.6
@@ -64,7 +64,7 @@
 
     @property
     def arriving_bytes(self):
-        """Bytes still missing from a partially received frame."""
+        """Bytes still missing of an incomplete message."""
         if len(self._buffer) < _LENGTH_PREFIX.size:
             return 0
         (size,) = _LENGTH_PREFIX.unpack_from(self._buffer)
@@ -102,7 +102,7 @@
             self._on_message(self, message)
 
     def connection_lost(self, _error):
-        """Call ``on_closed``."""
+        """Report the closed connection to its owner."""
         self._on_closed(self)
 
     def send(self, message):
@@ -156,7 +156,7 @@
     def _note_write_progress(self, now):
         """Treat a shrinking write buffer as a sign that the other end is alive.
 
-        On a slow link a large message delays the reply to a probe. Without this check
+        On a slow link a large message delays a probe reply. Without this check
         a working link would be aborted, together with everything in flight on it. The
         write buffer only shrinks while the other end acknowledges data.
         """
@@ -236,7 +236,7 @@
 
     @property
     def arriving_bytes(self):
-        """Bytes still missing from partially received frames, over all links."""
+        """Bytes still missing of incomplete messages, over all links."""
         return sum(link.arriving_bytes for link in self._links)
 
     def close(self):
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -1,4 +1,8 @@
-"""The adapter's folder shadows no module and alone contains the platform's names."""
+"""Tests that the platform adapter is separate from the rest of the code.
+
+Its folder must not shadow a module of the standard library, and the names that the
+platform uses must not occur in the product's own modules.
+"""
 
 import re
 import subprocess
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,6 @@
-"""docs/OPERATING.md covers all settings, commands, metrics and errors; links resolve.
+"""Tests that docs/OPERATING.md covers all settings, commands, metrics and errors.
+
+They also check that links and module names in all pages resolve.
 
 The table of errors is between two markers; UPDATE_GOLDEN=1 regenerates it.
 """
@@ -75,7 +77,7 @@
 
 
 def setting_cells(field):
-    """Return the table cells of one setting, except its description."""
+    """Return the start of a setting's table row, without the description."""
     minimum, maximum = _bound(field, ">="), _bound(field, "<=")
     if minimum is not None:
         values = f"{minimum} to {maximum}"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -25,10 +25,11 @@
 
 
 def test_lines_above_the_repeat_limit_are_dropped_and_counted():
-    """A target is down, and each of thousands of refusals a second logs a line.
+    """While a target is down, thousands of requests a second may be refused.
 
-    At most the configured number is written per minute, other sentences are not
-    affected, and the first line of the next minute reports how many were dropped.
+    Each refusal logs the same sentence. At most ``repeats_per_minute`` such lines, here
+    3, are written per minute. Other sentences are not affected, and the first line of
+    the next minute reports how many were dropped.
     """
     now = [0.0]
     lines = []
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -48,8 +48,8 @@
     """A key of a shared service is answered by several targets.
 
     No ledger records its bookings, so they are refused at the caller and peer ports and
-    never run. Lookups aren't counted, as the slower try of a hedge may start and end
-    late.
+    never run. The number of lookups isn't checked: a lookup may be hedged, so several
+    targets may run it, one of them after the caller has its answer.
     """
     assert len(targets_that_answer(trio[0])) > 1
     hops = {"Tamarackhaven_Hops": "1"}
@@ -191,7 +191,7 @@
 
 @pytest.fixture
 def frozen_owner():
-    """Yield a forwarding daemon, the key's next owner and its frozen owner."""
+    """Yield a cluster: a forwarding daemon, the key's next owner, its frozen owner."""
     view = FakeView()
     nodes = [Node(view, f"t{n}", forward_wait_ms=10_000) for n in (1, 2)]
     silent = SilentDaemon()
