--- a/tamarackhaven/_control_services.py
+++ b/tamarackhaven/_control_services.py
@@ -66,9 +66,9 @@
         self._machine = machine
         self._loop = loop
         self._futures = set()
-        machine.on_applied(self._applied)
+        machine.on_applied(self._on_applied)
 
-    def _applied(self, version):
+    def _on_applied(self, version):
         if self._futures:
             self._loop.call_soon_threadsafe(self._wake)
 
@@ -133,7 +133,7 @@
         leader = self._leader_stub()
         if leader is not None:
             if request.forwarded:
-                return _outcome(ErrorKind.NO_QUORUM, "leadership is changing")
+                return _outcome(ErrorKind.NO_QUORUM, "The leadership is changing.")
             request.forwarded = True
             try:
                 reply = await leader.Change(request, timeout=request.timeout_ms / 1000)
@@ -145,7 +145,7 @@
         except Exception as error:
             return _outcome(ErrorKind.INVALID_RESOURCE, _first_line(error))
         try:
-            change = self._checked_change(change)
+            change = self._check_change(change)
             command = encode_command(Command(change, unix_s()))
             return await self._wait_committed(
                 self._consensus.propose(command), request.timeout_ms
@@ -153,7 +153,7 @@
         except TamarackhavenError as error:
             return _outcome(error.kind, error.detail)
 
-    def _checked_change(self, change):
+    def _check_change(self, change):
         if isinstance(change, JoinTarget):
             return self._leader.checked_join(change)
         return change
@@ -165,7 +165,8 @@
             )
         except TimeoutError:
             return _outcome(
-                ErrorKind.CHANGE_UNCONFIRMED, "no majority within the timeout"
+                ErrorKind.CHANGE_UNCONFIRMED,
+                "No majority confirmed it within the timeout.",
             )
 
     async def Membership(self, stream):  # noqa: N802
--- a/tamarackhaven/_fence_round.py
+++ b/tamarackhaven/_fence_round.py
@@ -12,7 +12,7 @@
 # promised: the target has just joined and must first receive its epoch and renew, or
 # this process has restarted and doesn't know the promises that it made before.
 # A target that has just joined owns no shards yet, so no key is without service then.
-_JOIN_GRACE_PROMISE_TIMES = 3
+_JOIN_GRACE_PROMISES = 3
 # Bounds the rate of requests to a voter that answers that its promise ends sooner.
 _MIN_RETRY_S = 0.005
 
@@ -41,7 +41,7 @@
     first_seen_s: float
     fenced: set = attrs.field(factory=set)
     next_ask_s_by_voter: dict = attrs.field(factory=dict)
-    retired_at_s: float | None = None
+    retire_requested_at_s: float | None = None
 
 
 class FenceRounds:
@@ -92,14 +92,14 @@
         }
         asks = []
         for key, fence_round in self._round_by_epoch.items():
-            if now >= self._silent_since_s(fence_round, promise_end(*key)):
+            if now >= self._fence_after_s(fence_round, promise_end(*key)):
                 asks += self._asks(key, fence_round, now)
         return asks
 
-    def _silent_since_s(self, fence_round, end):
+    def _fence_after_s(self, fence_round, end):
         if end is not None:
             return end
-        return fence_round.first_seen_s + _JOIN_GRACE_PROMISE_TIMES * self._promise_s
+        return fence_round.first_seen_s + _JOIN_GRACE_PROMISES * self._promise_s
 
     @property
     def _quorum(self):
@@ -110,8 +110,8 @@
         return fence_round.fenced.intersection(self._voters)
 
     def _asks(self, key, fence_round, now):
-        self._restart_if_not_retired(fence_round, now)
-        if fence_round.retired_at_s is not None:
+        self._restart_if_uncommitted(fence_round, now)
+        if fence_round.retire_requested_at_s is not None:
             return []
         asks = []
         for voter in self._voters_to_ask(fence_round):
@@ -120,11 +120,11 @@
                 asks.append(FenceAsk(voter, *key))
         return asks
 
-    def _restart_if_not_retired(self, fence_round, now):
+    def _restart_if_uncommitted(self, fence_round, now):
         """Restart the round if a retirement isn't committed within a promise time."""
-        at = fence_round.retired_at_s
+        at = fence_round.retire_requested_at_s
         if at is not None and now - at >= self._promise_s:
-            fence_round.retired_at_s = None
+            fence_round.retire_requested_at_s = None
             fence_round.fenced.clear()
             fence_round.next_ask_s_by_voter.clear()
 
@@ -173,7 +173,7 @@
             return None
         fence_round.fenced.add(member)
         is_majority = len(self._fenced(fence_round)) >= self._quorum
-        if not is_majority or fence_round.retired_at_s is not None:
+        if not is_majority or fence_round.retire_requested_at_s is not None:
             return None
-        fence_round.retired_at_s = now
+        fence_round.retire_requested_at_s = now
         return Retire(*key)
--- a/tamarackhaven/_fences.py
+++ b/tamarackhaven/_fences.py
@@ -109,8 +109,8 @@
 
 
 def _read(path):
-    found = _record.scan(path.read_bytes(), path)
-    if not found.bodies:
+    scan_result = _record.scan(path.read_bytes(), path)
+    if not scan_result.bodies:
         raise _record.damaged(path, len(_record.HEADER))
-    fences = _codec.loads(found.bodies[0], list[Fence])
+    fences = _codec.loads(scan_result.bodies[0], list[Fence])
     return {(each.service, each.target): each.epoch for each in fences}
--- a/tamarackhaven/_http_server.py
+++ b/tamarackhaven/_http_server.py
@@ -35,7 +35,7 @@
 _STOP_LOOP_TIMEOUT_S = 0.02
 # A connection without a request is closed at a stop only after this time without input,
 # so that bytes in transit have arrived.
-_MIN_QUIET_S = 0.1
+_MIN_IDLE_S = 0.1
 _RECEIVED_KEY = "tamarackhaven.received_s"
 _OVERLOADED_KEY = "tamarackhaven.overloaded"
 _GONE_KEY = "waitress.client_disconnected"
@@ -194,7 +194,7 @@
         if self.requests or self.total_outbufs_len:
             return True
         # waitress sets last_activity by time.time().
-        return time.time() - self.last_activity < _MIN_QUIET_S
+        return time.time() - self.last_activity < _MIN_IDLE_S
 
     def handle_read(self):
         super().handle_read()
@@ -335,7 +335,7 @@
         callers without knowing whether their requests ran. Therefore the connections
         queued by the operating system are accepted first, each connection is closed
         after its next answer, and one without a request is closed only after no input
-        for ``_MIN_QUIET_S`` seconds, so that bytes in transit have arrived.
+        for ``_MIN_IDLE_S`` seconds, so that bytes in transit have arrived.
         """
         self._server.close_connections = True
         self._stop_listening()
@@ -351,10 +351,10 @@
     def _stop_listening(self):
         """Accept the connections that are already queued, then close the listener."""
         server = self._server
-        queued = select.poll()
-        queued.register(server.socket, select.POLLIN)
+        poller = select.poll()
+        poller.register(server.socket, select.POLLIN)
         for _ in range(_LISTEN_BACKLOG):
-            if not queued.poll(0):
+            if not poller.poll(0):
                 break
             server.handle_accept()
         server.del_channel()
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -79,7 +79,7 @@
 
     def _try_once(self, request, located, gone):
         if located.owner is None:
-            detail = f"Shard {located.grant.shard}."
+            detail = f"Shard {located.grant.shard} has no owner."
             raise TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_OWNER_RETRY_AFTER_S)
         if is_owner(located, self._standing()):
             return self.serve(request, located, gone)
--- a/tamarackhaven/_raft_election.py
+++ b/tamarackhaven/_raft_election.py
@@ -17,7 +17,7 @@
     def __init__(self, core, is_pre_vote):
         self._core = core
         self.is_pre_vote = is_pre_vote
-        self._accepted = {core.name}
+        self._granted = {core.name}
 
     @property
     def term(self):
@@ -27,7 +27,7 @@
     @property
     def is_won(self):
         """Whether a majority of the current voters has granted its vote."""
-        votes = self._accepted.intersection(self._core.voters)
+        votes = self._granted.intersection(self._core.voters)
         return len(votes) >= self._core.quorum
 
     def request_votes(self):
@@ -50,4 +50,4 @@
     def count(self, reply):
         """Record the vote if the reply grants it."""
         if reply.accepted:
-            self._accepted.add(reply.sender)
+            self._granted.add(reply.sender)
--- a/tamarackhaven/net/_link.py
+++ b/tamarackhaven/net/_link.py
@@ -19,8 +19,8 @@
 # Larger frames are written separately from their length, which saves a copy.
 LARGE_FRAME_BYTES = 65_536
 # Length values that mark a probe and a probe reply; no message follows them.
-_PING = 0xFFFF_FFFF
-_PONG = 0xFFFF_FFFE
+_PROBE = 0xFFFF_FFFF
+_PROBE_REPLY = 0xFFFF_FFFE
 # If a VM loses power, or a connection goes silent without a reset, writes to it keep
 # succeeding for minutes. The kernel closes the connection when sent bytes stay
 # unacknowledged for this time, which is many round trips between zones.
@@ -81,7 +81,7 @@
         self._buffer += data
         while len(self._buffer) >= _LENGTH_PREFIX.size:
             (size,) = _LENGTH_PREFIX.unpack_from(self._buffer)
-            if size in (_PING, _PONG):
+            if size in (_PROBE, _PROBE_REPLY):
                 del self._buffer[: _LENGTH_PREFIX.size]
                 self._on_probe_frame(size)
                 continue
@@ -125,10 +125,10 @@
         return True
 
     def _on_probe_frame(self, kind):
-        if kind == _PONG:
+        if kind == _PROBE_REPLY:
             self._probed_at_s = None
         elif self.is_open:
-            self._transport.write(_LENGTH_PREFIX.pack(_PONG))
+            self._transport.write(_LENGTH_PREFIX.pack(_PROBE_REPLY))
 
     def probe(self, now, silent_s, min_idle_s=0.0):
         """Send a probe to the other end, or abort the link if one is unanswered.
@@ -145,15 +145,15 @@
         """
         if not self.is_open:
             return
-        self._note_write_progress(now)
+        self._record_write_progress(now)
         if self._probed_at_s is not None:
             if now - max(self._probed_at_s, self.heard_at_s) > silent_s:
                 self.abort()
         elif now - self.heard_at_s >= min_idle_s:
             self._probed_at_s = now
-            self._transport.write(_LENGTH_PREFIX.pack(_PING))
+            self._transport.write(_LENGTH_PREFIX.pack(_PROBE))
 
-    def _note_write_progress(self, now):
+    def _record_write_progress(self, now):
         """Treat a shrinking write buffer as a sign that the other end is alive.
 
         On a slow link a large message delays a probe reply. Without this check
--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -40,7 +40,7 @@
     assert "usage" in result.stderr
 
 
-def test_missing_settings_end_the_start_with_a_code():
+def test_missing_settings_make_the_start_fail_with_an_exit_code():
     for role in ("daemon", "control"):
         result = subprocess.run(
             [sys.executable, "platform", role], cwd=ROOT, capture_output=True, text=True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -76,7 +76,7 @@
     return str(field.default) if field.default != "" else "empty"
 
 
-def setting_cells(field):
+def setting_row_start(field):
     """Return the start of a setting's table row, without the description."""
     minimum, maximum = _bound(field, ">="), _bound(field, "<=")
     if minimum is not None:
@@ -142,10 +142,10 @@
 
 def test_every_setting_is_documented_with_its_range_and_default(page):
     missing = [
-        f"{settings_class.__name__}: {setting_cells(field)}"
+        f"{settings_class.__name__}: {setting_row_start(field)}"
         for settings_class in settings_classes()
         for field in attrs.fields(attrs.resolve_types(settings_class))
-        if setting_cells(field) not in page
+        if setting_row_start(field) not in page
     ]
     assert not missing, missing
 
--- a/tests/test_lease_wire.py
+++ b/tests/test_lease_wire.py
@@ -6,33 +6,35 @@
 from tamarackhaven._lease_wire import Ack, Hint, Reason, Renewal, decode, encode
 from tamarackhaven.errors import TamarackhavenError
 
-EXAMPLES = settings(
+PROPERTY_SETTINGS = settings(
     derandomize=True, deadline=None, print_blob=False, database=None, max_examples=60
 )
-INDEX = st.integers(0, 2**48 - 1)
+UINT48 = st.integers(0, 2**48 - 1)
 SEQ = st.integers(0, 2**32 - 1)
 REFUSED = st.sampled_from([r for r in Reason if r is not Reason.GRANTED])
 MESSAGES = st.one_of(
-    st.builds(Renewal, INDEX, INDEX, SEQ, st.booleans()),
-    st.builds(Ack, SEQ, st.just(Reason.GRANTED), INDEX),
-    st.builds(Ack, SEQ, REFUSED, INDEX, st.integers(0, 999)),
-    st.builds(Hint, INDEX),
+    st.builds(Renewal, UINT48, UINT48, SEQ, st.booleans()),
+    st.builds(Ack, SEQ, st.just(Reason.GRANTED), UINT48),
+    st.builds(Ack, SEQ, REFUSED, UINT48, st.integers(0, 999)),
+    st.builds(Hint, UINT48),
 )
 
 
-@EXAMPLES
-@given(message=MESSAGES, at=st.integers(0, 10_000), bit_flips=st.integers(1, 255))
-def test_datagrams_round_trip_and_corrupted_ones_are_dropped(message, at, bit_flips):
+@PROPERTY_SETTINGS
+@given(message=MESSAGES, position=st.integers(0, 10_000), xor_mask=st.integers(1, 255))
+def test_datagrams_round_trip_and_corrupted_ones_are_dropped(
+    message, position, xor_mask
+):
     data = encode(message)
     assert decode(data) == message
     corrupted = bytearray(data)
-    corrupted[at % len(data)] ^= bit_flips
+    corrupted[position % len(data)] ^= xor_mask
     assert decode(bytes(corrupted)) is None
-    assert decode(data[: at % len(data)]) is None
+    assert decode(data[: position % len(data)]) is None
     assert decode(data + b"x") is None
 
 
-@EXAMPLES
+@PROPERTY_SETTINGS
 @given(data=st.binary(max_size=80))
 def test_arbitrary_bytes_are_dropped_without_an_error(data):
     assert decode(data) is None
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -26,12 +26,12 @@
 from tests.fakes import FakeView, Node, ask, booking, running, wait_for
 
 SHARD = shard_of(hash_key("s", "k"), 4)
-LONG = {"Tamarackhaven_Deadline_Ms": "20000"}
-FIRST_BYTES = 1
+LONG_DEADLINE = {"Tamarackhaven_Deadline_Ms": "20000"}
+REQUEST_START_BYTES = 1
 
 
 @pytest.fixture
-def trio():
+def three_nodes():
     view = FakeView(mode=PolicyMode.SHARED)
     nodes = [Node(view, f"t{n}") for n in (1, 2, 3)]
     with running(*nodes):
@@ -39,24 +39,27 @@
 
 
 def targets_that_answer(node, count=30):
-    got = [node.ask(**LONG) for _ in range(count)]
-    assert {g.status for g in got} == {200}
-    return {g.plain["target"] for g in got}
+    answers = [node.ask(**LONG_DEADLINE) for _ in range(count)]
+    assert {answer.status for answer in answers} == {200}
+    return {answer.plain["target"] for answer in answers}
 
 
-def test_any_target_answers_lookups_and_bookings_are_refused(trio):
+def test_any_target_answers_lookups_and_bookings_are_refused(three_nodes):
     """A key of a shared service is answered by several targets.
 
     No ledger records its bookings, so they are refused at the caller and peer ports and
     never run. The number of lookups isn't checked: a lookup may be hedged, so several
     targets may run it, one of them after the caller has its answer.
     """
-    assert len(targets_that_answer(trio[0])) > 1
+    assert len(targets_that_answer(three_nodes[0])) > 1
     hops = {"Tamarackhaven_Hops": "1"}
-    for port, more in ((trio[0].daemon.caller.port, {}), (trio[1].peer.port, hops)):
-        got = ask(port, "POST", **booking("b", **more))
-        assert (got.status, got.name, got.ran) == (422, "BOOKING_SHARED", "no")
-    targets = [node.standin.target for node in trio]
+    for port, more in (
+        (three_nodes[0].daemon.caller.port, {}),
+        (three_nodes[1].peer.port, hops),
+    ):
+        answer = ask(port, "POST", **booking("b", **more))
+        assert (answer.status, answer.name, answer.ran) == (422, "BOOKING_SHARED", "no")
+    targets = [node.standin.target for node in three_nodes]
     wait_for(lambda: not any(target.report()["running"] for target in targets))
     assert [target.counts()["executions"] for target in targets] == [{}, {}, {}]
 
@@ -71,19 +74,19 @@
         ("STATE_STALE", lambda node: setattr(node.daemon, "_confirmed_s", -999.0)),
     ],
 )
-def test_a_lookup_refused_by_one_target_is_served_by_another(trio, kind, cause):
-    cause(trio[1])
-    wait_for(lambda: trio[0].ask(**LONG).status == 200)
-    assert "t2" not in targets_that_answer(trio[0])
-    assert trio[0].metrics.counter(RETRIES, reason=kind) > 0
+def test_a_lookup_refused_by_one_target_is_served_by_another(three_nodes, kind, cause):
+    cause(three_nodes[1])
+    wait_for(lambda: three_nodes[0].ask(**LONG_DEADLINE).status == 200)
+    assert "t2" not in targets_that_answer(three_nodes[0])
+    assert three_nodes[0].metrics.counter(RETRIES, reason=kind) > 0
 
 
-def test_a_slow_try_is_hedged_and_the_slower_one_cancelled(trio):
+def test_a_slow_try_is_hedged_and_the_slower_one_cancelled(three_nodes):
     """t3 takes 20 s; the caller gets the answer of another target much earlier.
 
     The try at t3 is cancelled there: no request runs to its end, and t3 is idle soon.
     """
-    first, slow = trio[0], trio[2].standin.target
+    first, slow = three_nodes[0], three_nodes[2].standin.target
     targets_that_answer(first, 40)
     served = slow.served
     slow.settings = attrs.evolve(slow.settings, service_ms=20_000)
@@ -113,7 +116,7 @@
     assert 0.09 <= quantile.value_s <= 0.099
 
 
-def test_a_target_that_only_loses_races_is_ejected():
+def test_a_target_that_is_always_slower_than_its_hedge_is_ejected():
     members = [
         TargetMember("s", name, "z", "i", "n", Address("h", 1)) for name in "abc"
     ]
@@ -169,7 +172,7 @@
 
 
 class SilentDaemon:
-    """Accepts connections and never answers; ``hang_up`` closes them."""
+    """Accepts connections and never answers; ``close_connections`` closes them."""
 
     def __init__(self):
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -181,16 +184,16 @@
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = self._listener.accept()
-                sock.recv(FIRST_BYTES)
+                sock.recv(REQUEST_START_BYTES)
                 self.socks.append(sock)
 
-    def hang_up(self):
+    def close_connections(self):
         for sock in self.socks:
             sock.close()
 
 
 @pytest.fixture
-def frozen_owner():
+def frozen_owner_cluster():
     """Yield a cluster: a forwarding daemon, the key's next owner, its frozen owner."""
     view = FakeView()
     nodes = [Node(view, f"t{n}", forward_wait_ms=10_000) for n in (1, 2)]
@@ -204,35 +207,39 @@
 
 
 @pytest.mark.parametrize("lost", [False, True])
-def test_a_lookup_at_a_frozen_or_lost_daemon_goes_to_the_next_owner(frozen_owner, lost):
+def test_a_lookup_at_a_frozen_or_lost_daemon_goes_to_the_next_owner(
+    frozen_owner_cluster, lost
+):
     """The owner's daemon receives a lookup and freezes, or is lost before it answers.
 
     The control group fences it and grants its shard to t2. The caller must then be
     answered by t2, without waiting for its deadline of 20 seconds.
     """
-    first, second, silent = frozen_owner
-    got, started = [], _clock.boot_s()
-    thread = threading.Thread(target=lambda: got.append(first.ask(**LONG)))
+    first, second, silent = frozen_owner_cluster
+    answers, started = [], _clock.boot_s()
+    thread = threading.Thread(target=lambda: answers.append(first.ask(**LONG_DEADLINE)))
     thread.start()
     wait_for(lambda: silent.socks)
     if lost:
-        silent.hang_up()
+        silent.close_connections()
         wait_for(lambda: first.daemon.path.waiting)
     second.own(SHARD, grant=11)
     thread.join()
-    assert (got[0].status, got[0].plain["target"]) == (200, "t2")
+    assert (answers[0].status, answers[0].plain["target"]) == (200, "t2")
     assert _clock.boot_s() - started < 15
     assert first.metrics.counter(RETRIES, reason="FORWARD_LOST") == 1
 
 
-def test_a_booking_at_a_frozen_daemon_is_never_run_elsewhere(frozen_owner):
-    first, second, silent = frozen_owner
+def test_a_booking_at_a_frozen_daemon_is_never_run_elsewhere(frozen_owner_cluster):
+    first, second, silent = frozen_owner_cluster
     headers = booking("b", Tamarackhaven_Deadline_Ms="1000")
-    got = []
-    thread = threading.Thread(target=lambda: got.append(first.ask("POST", **headers)))
+    answers = []
+    thread = threading.Thread(
+        target=lambda: answers.append(first.ask("POST", **headers))
+    )
     thread.start()
     wait_for(lambda: silent.socks)
     second.own(SHARD, grant=11)
     thread.join()
-    assert (got[0].name, got[0].ran) == ("ANSWER_TIMEOUT", "unknown")
+    assert (answers[0].name, answers[0].ran) == ("ANSWER_TIMEOUT", "unknown")
     assert second.standin.target.served == 0
