--- a/tests/platform_adapter/test_adapter.py
+++ b/tests/platform_adapter/test_adapter.py
@@ -1,4 +1,8 @@
-"""The adapter's folder shadows no module and alone contains the platform's names."""
+"""Tests that the platform adapter is separate from the rest of the code.
+
+Its folder must not shadow a module of the standard library, and the names that the
+platform uses must not occur in the product's own modules.
+"""
 
 import re
 import subprocess
@@ -36,7 +40,7 @@
     assert "usage" in result.stderr
 
 
-def test_missing_settings_end_the_start_with_a_code():
+def test_missing_settings_make_the_start_fail_with_an_exit_code():
     for role in ("daemon", "control"):
         result = subprocess.run(
             [sys.executable, "platform", role], cwd=ROOT, capture_output=True, text=True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,6 @@
-"""docs/OPERATING.md covers all settings, commands, metrics and errors; links resolve.
+"""Tests that docs/OPERATING.md covers all settings, commands, metrics and errors.
+
+They also check that links and module names in all pages resolve.
 
 The table of errors is between two markers; UPDATE_GOLDEN=1 regenerates it.
 """
@@ -74,8 +76,8 @@
     return str(field.default) if field.default != "" else "empty"
 
 
-def setting_cells(field):
-    """Return the table cells of one setting, except its description."""
+def setting_row_start(field):
+    """Return the start of a setting's table row, without the description."""
     minimum, maximum = _bound(field, ">="), _bound(field, "<=")
     if minimum is not None:
         values = f"{minimum} to {maximum}"
@@ -140,10 +142,10 @@
 
 def test_every_setting_is_documented_with_its_range_and_default(page):
     missing = [
-        f"{settings_class.__name__}: {setting_cells(field)}"
+        f"{settings_class.__name__}: {setting_row_start(field)}"
         for settings_class in settings_classes()
         for field in attrs.fields(attrs.resolve_types(settings_class))
-        if setting_cells(field) not in page
+        if setting_row_start(field) not in page
     ]
     assert not missing, missing
 
