--- a/benches/_model_keys.py
+++ b/benches/_model_keys.py
@@ -119,7 +119,7 @@
         beat = Heartbeat(
             self.name, 1, SERVICE, "z", world.load.slots, TargetPhase.READY, 1
         )
-        self.keys.heard(beat, world.now)
+        self.keys.record_heartbeat(beat, world.now)
         world.later(world.random.uniform(0, REPORT_S), self.report_on)
         world.later(0.0, self.change_pace)
 
--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -291,7 +291,7 @@
                 self.silence.started(self._clock.boot_s())
                 self._replace_target(announcement)
             else:
-                self.silence.heard(self._clock.boot_s())
+                self.silence.message_received(self._clock.boot_s())
             # Last, so that a reader of the new link state finds the new gate in place.
             self.link.announce(announcement)
         if not is_new_start:
@@ -312,7 +312,7 @@
     def left(self):
         """Refuse queued and new requests: the target has begun to leave."""
         self.link.leave()
-        self.silence.heard(self._clock.boot_s())
+        self.silence.message_received(self._clock.boot_s())
         target = self._target
         if target is not None:
             target.admission.stop(ErrorKind.DRAINING)
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -52,7 +52,7 @@
             self._has_reported = False
             self._record_message(now)
 
-    def heard(self, now):
+    def message_received(self, now):
         """Record a message of the target that isn't a report."""
         with self._lock:
             self._record_message(now)
--- a/tamarackhaven/fleet/_addresses.py
+++ b/tamarackhaven/fleet/_addresses.py
@@ -7,7 +7,7 @@
 MAX_ADDRESSES = 64
 
 
-class HeardAddresses:
+class KnownAddresses:
     """The most recently received addresses, as pairs of host and port."""
 
     def __init__(self):
--- a/tamarackhaven/fleet/_joining.py
+++ b/tamarackhaven/fleet/_joining.py
@@ -1,6 +1,6 @@
 """Decides which control VMs to ask for membership in the group, and when. Pure."""
 
-from tamarackhaven.fleet._addresses import HeardAddresses
+from tamarackhaven.fleet._addresses import KnownAddresses
 
 # A member without a leader for this long asks the others for membership again.
 LEADERLESS_TIMEOUT_S = 1.0
@@ -25,7 +25,7 @@
 
     def __init__(self, own, now):
         self._own = own
-        self._received_addresses = HeardAddresses()
+        self._received_addresses = KnownAddresses()
         self._leaderless_since_s = now
         self._last_request_s = float("-inf")
         self._asked_addresses = frozenset()
--- a/tamarackhaven/net/_link.py
+++ b/tamarackhaven/net/_link.py
@@ -50,7 +50,7 @@
         self._transport = None
         self._probed_at_s = None
         self._last_unsent_bytes = 0
-        self.heard_at_s = boot_s()
+        self.last_received_s = boot_s()
 
     @property
     def is_open(self):
@@ -77,7 +77,7 @@
 
     def data_received(self, data):
         """Buffer received bytes and pass complete messages to ``on_message``."""
-        self.heard_at_s = boot_s()
+        self.last_received_s = boot_s()
         self._buffer += data
         while len(self._buffer) >= _LENGTH_PREFIX.size:
             (size,) = _LENGTH_PREFIX.unpack_from(self._buffer)
@@ -147,9 +147,9 @@
             return
         self._note_write_progress(now)
         if self._probed_at_s is not None:
-            if now - max(self._probed_at_s, self.heard_at_s) > silent_s:
+            if now - max(self._probed_at_s, self.last_received_s) > silent_s:
                 self.abort()
-        elif now - self.heard_at_s >= min_idle_s:
+        elif now - self.last_received_s >= min_idle_s:
             self._probed_at_s = now
             self._transport.write(_LENGTH_PREFIX.pack(_PING))
 
@@ -162,7 +162,7 @@
         """
         unsent_bytes = self._transport.get_write_buffer_size()
         if unsent_bytes < self._last_unsent_bytes:
-            self.heard_at_s = now
+            self.last_received_s = now
         self._last_unsent_bytes = unsent_bytes
 
     def abort(self):
--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -153,7 +153,7 @@
         ):
             self._split_spans(self._grant.ranges)
 
-    def heard(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Record a heartbeat of this life; the reply says nothing about keys."""
         if self._earlier_holds_until_s is None:
             # The first heartbeat of a life: no earlier process can have told it to hold
--- a/tamarackhaven/sidecar/_control_link.py
+++ b/tamarackhaven/sidecar/_control_link.py
@@ -8,7 +8,7 @@
 import contextlib
 
 from tamarackhaven._clock import boot_s
-from tamarackhaven.fleet._addresses import HeardAddresses
+from tamarackhaven.fleet._addresses import KnownAddresses
 from tamarackhaven.fleet._messages import (
     CONTROL_CODEC,
     LeaderHint,
@@ -64,7 +64,7 @@
         self._on_grant = on_grant
         self._seeds = seeds
         self._log = log
-        self._known_addresses = HeardAddresses()
+        self._known_addresses = KnownAddresses()
         self._last_number = 0
         self._asked_s_by_number = collections.OrderedDict()
         self._last_answered_number = 0
@@ -225,7 +225,7 @@
         asked_s = max(self._oldest_unanswered_s(now), started_s)
         if now - asked_s > BUSY_REPORT_TIMEOUT_S:
             return True
-        return now - max(asked_s, link.heard_at_s) > REPORT_TIMEOUT_S
+        return now - max(asked_s, link.last_received_s) > REPORT_TIMEOUT_S
 
     def _oldest_unanswered_s(self, now):
         for number, asked_s in self._asked_s_by_number.items():
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -275,7 +275,7 @@
         before = self.state.target(boot_s())
         reply = self.state.take(beat, boot_s())
         after = self.state.target(boot_s())
-        self._key_calls.heard()
+        self._key_calls.open_connections()
         self.inbound.wake_key_waiters()
         if before != after:
             self.log.say(
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -390,7 +390,7 @@
             self._refused_since_s = now
         self._connection_refusals += 1
         is_long_enough = now - self._refused_since_s >= MIN_REFUSING_TIME_S
-        has_no_heartbeat = self._state.heard_s < self._refused_since_s
+        has_no_heartbeat = self._state.heartbeat_received_s < self._refused_since_s
         if (
             is_long_enough
             and has_no_heartbeat
@@ -461,7 +461,7 @@
         now = boot_s()
         return {
             "life": state.life,
-            "heartbeat_age_s": round(min(now - state.heard_s, 999.0), 3),
+            "heartbeat_age_s": round(min(now - state.heartbeat_received_s, 999.0), 3),
             "running": self._gate.running,
             "waiting": self._gate.waiting,
             "slots": self._gate.slots,
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -61,7 +61,7 @@
             for task in self._tasks:
                 task.cancel()
 
-    def heard(self):
+    def open_connections(self):
         """Open the connections for calls to the life that just sent a heartbeat.
 
         While all slots of a target and the connections to it are busy, a new owner
@@ -127,7 +127,9 @@
             # harm.
             sending = self._client.send(*request, any_reply)
         else:
-            sending = self._grants_client.send_to_life(*request, self._state.heard_s)
+            sending = self._grants_client.send_to_life(
+                *request, self._state.heartbeat_received_s
+            )
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
         try:
             # Cancelled by the timeout, the client closes its connection, so that bytes
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -87,7 +87,7 @@
         return tuple(each for _, each in self._releases)
 
     @abc.abstractmethod
-    def heard(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Record a heartbeat of this life; return the ``HeartbeatReply``."""
 
     @abc.abstractmethod
@@ -125,7 +125,7 @@
         self._heartbeat = None
         self._heartbeat_received_s = float("-inf")
 
-    def heard(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Record a heartbeat of this life; return the ``HeartbeatReply``."""
         self._settled = self._sent_grant
         self._heartbeat = heartbeat
--- a/tamarackhaven/sidecar/_target_client.py
+++ b/tamarackhaven/sidecar/_target_client.py
@@ -89,19 +89,19 @@
         request = method, target, headers, body, is_reply
         return await self._send(request, ANY_TIME)
 
-    async def send_to_life(self, method, target, headers, body, heard_s):
-        """Send a call to the life whose heartbeat was received at ``heard_s``.
+    async def send_to_life(self, method, target, headers, body, heartbeat_received_s):
+        """Send a call to the life with a heartbeat at ``heartbeat_received_s``.
 
         If a target crashes, its next life may listen on the same address before its
         first heartbeat, and would be told to hold keys with the fence of the former
         life. So the call is sent only on a connection that was open when the heartbeat
         was received, or was opened right after it; a connection to a former life is
-        closed by then. ``heard_s`` is in seconds of the boot clock.
+        closed by then. ``heartbeat_received_s`` is in seconds of the boot clock.
 
         Return a ``SendResult``. It's NOT_SENT also if there is no such connection
         before the next heartbeat.
         """
-        opened_by_s = heard_s + MIN_RESTART_S
+        opened_by_s = heartbeat_received_s + MIN_RESTART_S
         request = method, target, headers, body, any_reply
         try:
             return await self._send(request, opened_by_s)
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -77,7 +77,7 @@
         self._host = host
         self._port = port
         self.heartbeat = None
-        self.heard_s = float("-inf")
+        self.heartbeat_received_s = float("-inf")
         self.cold_until_s = float("-inf")
         self.leaving_since_s = None
         self.ended_lives = []
@@ -99,13 +99,13 @@
         if not self._accept(beat):
             return HeartbeatReply()
         self.heartbeat = beat
-        self.heard_s = now
+        self.heartbeat_received_s = now
         self.cold_until_s = now + beat.cold_s
         if beat.phase is TargetPhase.DRAINING:
             self._start_draining(now)
         if self._keys is None:
             self._keys = self._make_holds()
-        return self._keys.heard(beat, now)
+        return self._keys.record_heartbeat(beat, now)
 
     def _make_holds(self):
         kind = _HOLDS_BY_ORDERS[self._hold_orders]
@@ -209,7 +209,7 @@
     def is_silent(self, now):
         """Whether heartbeats have been missing for too long."""
         limit_s = 1.0 + MAX_MISSED_HEARTBEATS * self._settings.lease.heartbeat_s
-        return now - self.heard_s > limit_s
+        return now - self.heartbeat_received_s > limit_s
 
     def accepts_new(self, is_sharded, now):
         """Whether the target may get new requests; a draining one only for its keys."""
--- a/tests/net/test_link.py
+++ b/tests/net/test_link.py
@@ -31,7 +31,7 @@
 def link():
     new_link = Link(None, None, None)
     new_link._transport = Transport()
-    new_link.heard_at_s = 10.0
+    new_link.last_received_s = 10.0
     return new_link
 
 
--- a/tests/sidecar/test_called_holds.py
+++ b/tests/sidecar/test_called_holds.py
@@ -38,7 +38,7 @@
 @pytest.fixture
 def holds():
     called_holds = CalledHolds(LEASE, LIFE)
-    called_holds.heard(heartbeat(1), 9.0)
+    called_holds.record_heartbeat(heartbeat(1), 9.0)
     return called_holds
 
 
@@ -143,7 +143,7 @@
 def test_a_restarted_daemon_counts_all_keys_as_held_until_old_leases_expire():
     # The earlier process told the target of keys that this one doesn't know.
     restarted = CalledHolds(LEASE, LIFE)
-    restarted.heard(heartbeat(7), 20.0)
+    restarted.record_heartbeat(heartbeat(7), 20.0)
     assert restarted.held(20.0) == (Hold(0, 65535, 0),)
     assert restarted.held(20.0 + LEASE.lease_s) == ()
 
@@ -190,8 +190,8 @@
 
 
 class _AssumesNoEarlierHolds(CalledHolds):
-    def heard(self, heartbeat, now):
-        reply = super().heard(heartbeat, now)
+    def record_heartbeat(self, heartbeat, now):
+        reply = super().record_heartbeat(heartbeat, now)
         self._earlier_holds_until_s = now
         return reply
 
--- a/tests/sidecar/test_control_link.py
+++ b/tests/sidecar/test_control_link.py
@@ -12,8 +12,8 @@
 class Link:
     """Fake link that last received data at a given time."""
 
-    def __init__(self, heard_at_s):
-        self.heard_at_s = heard_at_s
+    def __init__(self, last_received_s):
+        self.last_received_s = last_received_s
 
     def send(self, message):
         """Discard a report."""
@@ -27,7 +27,7 @@
 
 
 def test_a_silent_leader_is_lost(control):
-    link = Link(heard_at_s=99.0)
+    link = Link(last_received_s=99.0)
     assert not control._is_lost(link, 90.0, 100.0 + REPORT_TIMEOUT_S - 0.01)
     assert control._is_lost(link, 90.0, 100.0 + REPORT_TIMEOUT_S + 0.01)
 
@@ -36,7 +36,7 @@
     # An update of hundreds of routes is in flight on a small link, followed by the
     # answer to the report. If the session were closed, the same update would be sent
     # again.
-    link = Link(heard_at_s=101.4)
+    link = Link(last_received_s=101.4)
     assert not control._is_lost(link, 90.0, 101.5)
 
 
@@ -44,4 +44,4 @@
     # A leader that is cut off from its quorum can't confirm a lease, but it still
     # sends updates that follow from the reports of other daemons.
     late_s = 100.0 + BUSY_REPORT_TIMEOUT_S + 0.01
-    assert control._is_lost(Link(heard_at_s=late_s), 90.0, late_s)
+    assert control._is_lost(Link(last_received_s=late_s), 90.0, late_s)
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -33,7 +33,7 @@
 
     life: str = FORWARD.life
     heartbeat: object = None
-    heard_s: float = 0.0
+    heartbeat_received_s: float = 0.0
 
     def accepts_new(self, is_sharded, now):
         return True
