--- a/benches/_model_keys.py
+++ b/benches/_model_keys.py
@@ -192,9 +192,9 @@
 
         world.later(HOP_S, arrive)
 
-    def take_grant(self, grant, asked_s):
+    def take_grant(self, grant, requested_s):
         """Take a lease, and make the calls that follow from it."""
-        self.keys.take_grant(grant, asked_s)
+        self.keys.take_grant(grant, requested_s)
         self.make_calls()
 
     def make_calls(self):
--- a/tamarackhaven/sidecar/_control_link.py
+++ b/tamarackhaven/sidecar/_control_link.py
@@ -49,8 +49,8 @@
     on_view_message : callable
         ``on_view_message(message)`` is called with each message about the view.
     on_grant : callable
-        ``on_grant(grant, asked_s)`` is called with each ``LeaseGrant`` and with when
-        its report was sent, in seconds of the boot clock.
+        ``on_grant(grant, requested_s)`` is called with each ``LeaseGrant`` and with
+        when its report was sent, in seconds of the boot clock.
     seeds : callable
         Returns the control addresses of the current settings, as (host, port).
     log : Log
@@ -66,7 +66,7 @@
         self._log = log
         self._known_addresses = KnownAddresses()
         self._last_number = 0
-        self._asked_s_by_number = collections.OrderedDict()
+        self._requested_s_by_number = collections.OrderedDict()
         self._last_answered_number = 0
         self._report_due = asyncio.Event()
         self._link_closed = asyncio.Event()
@@ -213,7 +213,7 @@
             self._session.link.abort()
         self._session = session
         self._link_closed.clear()
-        self._asked_s_by_number.clear()
+        self._requested_s_by_number.clear()
         self._last_answered_number = self._last_number
         session.begin()
 
@@ -222,22 +222,22 @@
 
         Times are in seconds of the boot clock.
         """
-        asked_s = max(self._oldest_unanswered_s(now), started_s)
-        if now - asked_s > BUSY_REPORT_TIMEOUT_S:
+        requested_s = max(self._oldest_unanswered_s(now), started_s)
+        if now - requested_s > BUSY_REPORT_TIMEOUT_S:
             return True
-        return now - max(asked_s, link.last_received_s) > REPORT_TIMEOUT_S
+        return now - max(requested_s, link.last_received_s) > REPORT_TIMEOUT_S
 
     def _oldest_unanswered_s(self, now):
-        for number, asked_s in self._asked_s_by_number.items():
+        for number, requested_s in self._requested_s_by_number.items():
             if number > self._last_answered_number:
-                return asked_s
+                return requested_s
         return now
 
     def _send_report(self, link, now):
         self._last_number += 1
-        self._asked_s_by_number[self._last_number] = now
-        while len(self._asked_s_by_number) > MAX_REMEMBERED_REPORTS:
-            self._asked_s_by_number.popitem(last=False)
+        self._requested_s_by_number[self._last_number] = now
+        while len(self._requested_s_by_number) > MAX_REMEMBERED_REPORTS:
+            self._requested_s_by_number.popitem(last=False)
         link.send(self._make_report(self._last_number))
 
     def on_session_message(self, session, message):
@@ -245,11 +245,11 @@
         if session is not self._session:
             return
         if isinstance(message, LeaseGrant):
-            asked_s = self._asked_s_by_number.get(message.number)
+            requested_s = self._requested_s_by_number.get(message.number)
             self._last_answered_number = max(self._last_answered_number, message.number)
-            if asked_s is not None:
+            if requested_s is not None:
                 self.confirmed_s = boot_s()
-                self._on_grant(message, asked_s)
+                self._on_grant(message, requested_s)
             self._answer_received.set()
         elif not isinstance(message, LeaderHint | Report):
             self._on_view_message(message)
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -262,9 +262,9 @@
             routes=len(configuration.routes),
         )
 
-    def _apply_grant(self, grant, asked_s):
-        self.view.confirm(asked_s)
-        self.state.take_grant(grant, asked_s)
+    def _apply_grant(self, grant, requested_s):
+        self.view.confirm(requested_s)
+        self.state.take_grant(grant, requested_s)
         self.inbound.wake_key_waiters()
         self._key_calls.kick()
 
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -47,14 +47,14 @@
         self._lease_until_s = float("-inf")
         self._releases = []
 
-    def take_grant(self, grant, asked_s):
+    def take_grant(self, grant, requested_s):
         """Apply a grant; its lease counts from when it was requested."""
         if grant.life != self._life:
             return
         if self._grant is not None and grant.grant < self._grant.grant:
             return
         self._grant = grant
-        self._lease_until_s = asked_s + grant.lease_s
+        self._lease_until_s = requested_s + grant.lease_s
 
     def is_granted(self, key, now):
         """Whether ``key`` is granted: the target holds it or is about to be told to."""
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -163,10 +163,10 @@
         """
         return self._keys
 
-    def take_grant(self, grant, asked_s):
-        """Apply a grant; its lease starts at ``asked_s``, when it was requested."""
+    def take_grant(self, grant, requested_s):
+        """Apply a grant; its lease starts at ``requested_s``, when it was requested."""
         if self._keys is not None:
-            self._keys.take_grant(grant, asked_s)
+            self._keys.take_grant(grant, requested_s)
 
     def holds(self, key, now):
         """Whether the target holds ``key``, as far as this daemon knows."""
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -37,13 +37,13 @@
         self._change_signal = ChangeSignal()
         self._confirmed_s = float("-inf")
 
-    def confirm(self, asked_s):
-        """Record that the leader has answered a report that was sent at ``asked_s``.
+    def confirm(self, requested_s):
+        """Record that the leader has answered a report sent at ``requested_s``.
 
         The leader sends the answer on the same link after all changes that it had
-        accepted before the report. ``asked_s`` is in seconds of the boot clock.
+        accepted before the report. ``requested_s`` is in seconds of the boot clock.
         """
-        self._confirmed_s = max(self._confirmed_s, asked_s)
+        self._confirmed_s = max(self._confirmed_s, requested_s)
 
     def is_confirmed(self, now):
         """Whether the view includes all changes that were accepted until recently."""
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -171,9 +171,9 @@
 
     def report(self):
         world, report = self.world, self.make_report()
-        asked_s, boot = world.now, self.boot
+        requested_s, boot = world.now, self.boot
         delay_s = world.random.uniform(0.01, 0.3)
-        world.later(delay_s, lambda: self.world.answer(self, report, asked_s, boot))
+        world.later(delay_s, lambda: self.world.answer(self, report, requested_s, boot))
 
     def send(self, keys, order):
         """Make a call; a fraction of them, ``World.faults``, fails in some way."""
@@ -250,7 +250,7 @@
         """Run ``action`` in ``delay_s`` seconds."""
         self._scheduled.append((self.now + delay_s, action))
 
-    def answer(self, vm, report, asked_s, boot):
+    def answer(self, vm, report, requested_s, boot):
         """Simulate the leader's handling of one report."""
         leader = self.leader
         leader.report(report, self.now)
@@ -258,7 +258,7 @@
 
         def arrive():
             if vm.boot == boot:
-                vm.state.take_grant(grant, asked_s)
+                vm.state.take_grant(grant, requested_s)
 
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -137,10 +137,10 @@
 
     def report(self):
         world, report = self.world, self.make_report()
-        asked_s, boot = world.now, self.boot
+        requested_s, boot = world.now, self.boot
         if not world.is_message_lost():
             delay_s = world.delay_s()
-            world.later(delay_s, lambda: world.answer(self, report, asked_s, boot))
+            world.later(delay_s, lambda: world.answer(self, report, requested_s, boot))
 
 
 class SlowLogWorld(World):
@@ -179,7 +179,7 @@
             return self.random.uniform(0.0, 0.03)
         return self.random.uniform(0.0, 1.5)
 
-    def answer(self, vm, report, asked_s, boot):
+    def answer(self, vm, report, requested_s, boot):
         """Simulate the leader's handling of a report, which a quorum confirms first."""
         leader = self.leader
         if leader is None:
@@ -191,7 +191,7 @@
                 return
             grant = leader.grant(report, self.state, self.now)
             vm.deliver(
-                self.delay_s(), boot, lambda: vm.state.take_grant(grant, asked_s)
+                self.delay_s(), boot, lambda: vm.state.take_grant(grant, requested_s)
             )
 
         self.later(self.delay_s(), confirmed)
--- a/tests/sidecar/test_control_link_search.py
+++ b/tests/sidecar/test_control_link_search.py
@@ -69,7 +69,7 @@
             lambda: DaemonHello("d", "boot"),
             Report,
             self.taken.append,
-            lambda grant, asked_s: None,
+            lambda grant, requested_s: None,
             lambda: seeds,
             Log(),
         )
--- a/tests/sidecar/test_target_state.py
+++ b/tests/sidecar/test_target_state.py
@@ -55,13 +55,13 @@
     # The control group reassigns the keys when the lease expires. A target whose clock
     # is slow holds them for longer than it was told; if that were longer than the
     # lease, both targets would run requests for them.
-    state.take_grant(grant(state), asked_s=10.0)
+    state.take_grant(grant(state), requested_s=10.0)
     reply = state.take(make_heartbeat(2), 11.5)
     assert 11.5 + reply.hold_s / SLOWEST_CLOCK < 14.0
 
 
 def test_an_expired_lease_renews_no_holds(state):
-    state.take_grant(grant(state), asked_s=10.0)
+    state.take_grant(grant(state), requested_s=10.0)
     assert state.take(make_heartbeat(2), 14.0).ranges is None
     assert not state.holds(5, 14.0)
 
@@ -69,13 +69,13 @@
 def test_an_older_grant_does_not_replace_a_newer_one(state):
     # A deposed leader's grant was delayed. If it were applied, it would grant keys
     # again that the target has released since.
-    state.take_grant(grant(state, 5, ranges=(), term=2), asked_s=10.0)
-    state.take_grant(grant(state, 9, term=1), asked_s=10.0)
+    state.take_grant(grant(state, 5, ranges=(), term=2), requested_s=10.0)
+    state.take_grant(grant(state, 9, term=1), requested_s=10.0)
     assert state.take(make_heartbeat(2), 11.0).ranges == ()
 
 
 def test_a_grant_to_another_life_is_not_passed_to_the_target(state):
-    state.take_grant(grant(state), asked_s=10.0)
+    state.take_grant(grant(state), requested_s=10.0)
     reply = state.take(make_heartbeat(1, born_ms=2), 11.0)
     assert reply.ranges is None
     assert state.ended_lives == ["i@1@10.0.0.1:7000"]
@@ -123,10 +123,10 @@
 
 
 def test_the_settled_grant_is_the_newest_one_that_a_heartbeat_followed(state):
-    state.take_grant(grant(state, 1), asked_s=10.0)
+    state.take_grant(grant(state, 1), requested_s=10.0)
     state.take(make_heartbeat(2), 10.5)
     assert state.settled == GrantId()
-    state.take_grant(grant(state, 2, ranges=()), asked_s=10.6)
+    state.take_grant(grant(state, 2, ranges=()), requested_s=10.6)
     state.take(make_heartbeat(3, holds=(Hold(0, 99, 7),)), 11.0)
     assert state.settled == GrantId(1, 1)
     state.take(make_heartbeat(4), 11.1)
@@ -144,5 +144,5 @@
     assert restarted.holds(5, 20.1)
     assert not restarted.holds(500, 20.1)
     assert not restarted.holds(5, 22.0)
-    restarted.take_grant(grant(restarted, 3), asked_s=20.0)
+    restarted.take_grant(grant(restarted, 3), requested_s=20.0)
     assert restarted.take(make_heartbeat(8), 21.0).ranges
