--- a/benches/_model_keys.py
+++ b/benches/_model_keys.py
@@ -188,13 +188,13 @@
 
         def confirmed():
             grant = world.leader.grant(report, world.state, world.now)
-            world.later(HOP_S, lambda: self.take_grant(grant, now))
+            world.later(HOP_S, lambda: self.apply_grant(grant, now))
 
         world.later(HOP_S, arrive)
 
-    def take_grant(self, grant, requested_s):
+    def apply_grant(self, grant, requested_s):
         """Take a lease, and make the calls that follow from it."""
-        self.keys.take_grant(grant, requested_s)
+        self.keys.apply_grant(grant, requested_s)
         self.make_calls()
 
     def make_calls(self):
--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -144,10 +144,10 @@
 
     # Incoming: grants, heartbeats and results of calls.
 
-    def take_grant(self, grant, requested_s):
+    def apply_grant(self, grant, requested_s):
         """Apply a grant; its lease counts from when it was requested."""
         former = self._grant
-        super().take_grant(grant, requested_s)
+        super().apply_grant(grant, requested_s)
         if self._grant is not None and (
             former is None or former.ranges != self._grant.ranges
         ):
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -229,7 +229,7 @@
     def _apply_view_message(self, message):
         table_before = self.view.table
         zones_out_before = self.view.zones_out
-        if not self.view.take(message):
+        if not self.view.apply_update(message):
             return
         if self.view.table is not table_before:
             self._on_configuration()
@@ -264,7 +264,7 @@
 
     def _apply_grant(self, grant, requested_s):
         self.view.confirm(requested_s)
-        self.state.take_grant(grant, requested_s)
+        self.state.apply_grant(grant, requested_s)
         self.inbound.wake_key_waiters()
         self._key_calls.kick()
 
@@ -273,7 +273,7 @@
     def heartbeat(self, beat):
         """Apply a heartbeat of the target; return its ``HeartbeatReply``."""
         before = self.state.target(boot_s())
-        reply = self.state.take(beat, boot_s())
+        reply = self.state.apply_heartbeat(beat, boot_s())
         after = self.state.target(boot_s())
         self._key_calls.open_connections()
         self.inbound.wake_key_waiters()
--- a/tamarackhaven/sidecar/_key_holds.py
+++ b/tamarackhaven/sidecar/_key_holds.py
@@ -47,7 +47,7 @@
         self._lease_until_s = float("-inf")
         self._releases = []
 
-    def take_grant(self, grant, requested_s):
+    def apply_grant(self, grant, requested_s):
         """Apply a grant; its lease counts from when it was requested."""
         if grant.life != self._life:
             return
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -94,7 +94,7 @@
 
     # Heartbeats.
 
-    def take(self, beat, now):
+    def apply_heartbeat(self, beat, now):
         """Apply a heartbeat; return its ``HeartbeatReply``."""
         if not self._accept(beat):
             return HeartbeatReply()
@@ -163,10 +163,10 @@
         """
         return self._keys
 
-    def take_grant(self, grant, requested_s):
+    def apply_grant(self, grant, requested_s):
         """Apply a grant; its lease starts at ``requested_s``, when it was requested."""
         if self._keys is not None:
-            self._keys.take_grant(grant, requested_s)
+            self._keys.apply_grant(grant, requested_s)
 
     def holds(self, key, now):
         """Whether the target holds ``key``, as far as this daemon knows."""
--- a/tamarackhaven/sidecar/_view.py
+++ b/tamarackhaven/sidecar/_view.py
@@ -70,7 +70,7 @@
         )
 
     @functools.singledispatchmethod
-    def take(self, message):
+    def apply_update(self, message):
         """Apply a message about a part; return whether it was newer than the known one.
 
         Raises
@@ -80,13 +80,13 @@
         """
         raise TypeError(f"not a message about the view: {type(message).__name__}")
 
-    @take.register
+    @apply_update.register
     def _(self, message: ConfigurationView):
         if not self._is_newer("configuration", message.index):
             return False
         return self._apply_configuration(message.configuration)
 
-    @take.register
+    @apply_update.register
     def _(self, message: ConfigurationChange):
         if not self._is_newer("configuration", message.index):
             return False
@@ -98,7 +98,7 @@
             self.table = RouteTable(configuration)
         return self._notify_changed()
 
-    @take.register
+    @apply_update.register
     def _(self, message: ZonesView):
         if not self._is_newer("zones", message.index):
             return False
@@ -113,7 +113,7 @@
         }
         return self._notify_changed()
 
-    @take.register
+    @apply_update.register
     def _(self, message: KeysView):
         if not self._is_newer(_keys_part(message.service), message.index):
             return False
@@ -124,7 +124,7 @@
         self._keys_by_service[message.service] = RangeIndex(ranges)
         return self._notify_changed()
 
-    @take.register
+    @apply_update.register
     def _(self, message: TargetsView):
         for life in message.gone:
             self.target_by_life.pop(life, None)
--- a/tests/fleet/test_sessions.py
+++ b/tests/fleet/test_sessions.py
@@ -43,7 +43,7 @@
     def send(self, message):
         data = CONTROL_CODEC.pack(message)
         self.bytes += len(data)
-        self._view.take(CONTROL_CODEC.unpack(data))
+        self._view.apply_update(CONTROL_CODEC.unpack(data))
 
 
 def run(test):
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -151,7 +151,7 @@
             TargetPhase.READY,
             self.target.sequence,
         )
-        self.state.take(beat, self.world.now)
+        self.state.apply_heartbeat(beat, self.world.now)
 
     def make_report(self):
         """Return a report in which random keys are busy at random rates."""
@@ -258,7 +258,7 @@
 
         def arrive():
             if vm.boot == boot:
-                vm.state.take_grant(grant, requested_s)
+                vm.state.apply_grant(grant, requested_s)
 
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -99,7 +99,7 @@
 
     def take(self, pending):
         """Simulate the daemon's handling of a heartbeat."""
-        reply = self.state.take(pending.heartbeat, self.world.now)
+        reply = self.state.apply_heartbeat(pending.heartbeat, self.world.now)
         if not self.world.is_message_lost():
             self.world.later(
                 self.world.delay_s(), lambda: self.handle_reply(pending, reply)
@@ -191,7 +191,7 @@
                 return
             grant = leader.grant(report, self.state, self.now)
             vm.deliver(
-                self.delay_s(), boot, lambda: vm.state.take_grant(grant, requested_s)
+                self.delay_s(), boot, lambda: vm.state.apply_grant(grant, requested_s)
             )
 
         self.later(self.delay_s(), confirmed)
--- a/tests/sidecar/test_called_holds.py
+++ b/tests/sidecar/test_called_holds.py
@@ -44,13 +44,13 @@
 
 def grant_and_confirm(holds, now=10.0, *ranges):
     """Grant ranges, and confirm the calls that tell the target."""
-    holds.take_grant(grant(1, *(ranges or ((0, 99, 7),))), now)
+    holds.apply_grant(grant(1, *(ranges or ((0, 99, 7),))), now)
     for order in holds.due(now):
         holds.ended(order, OrderEnd.DONE, now)
 
 
 def test_a_granted_key_is_held_once_the_target_has_answered(holds):
-    holds.take_grant(grant(1, (0, 99, 7)), 10.0)
+    holds.apply_grant(grant(1, (0, 99, 7)), 10.0)
     (order,) = holds.due(10.0)
     assert (order.handover, order.fence) == ("old", 7)
     assert holds.is_granted(5, 10.0) and not holds.holds(5, 10.0)
@@ -60,7 +60,7 @@
 
 
 def test_a_hold_expires_before_the_lease_even_if_its_call_arrives_late(holds):
-    holds.take_grant(grant(1, (0, 99, 7)), 10.0)
+    holds.apply_grant(grant(1, (0, 99, 7)), 10.0)
     (order,) = holds.due(10.5)
     arrives_s = 10.5 + CALL_TIMEOUT_S
     assert arrives_s + order.hold_s / SLOWEST_CLOCK < 14.0
@@ -68,9 +68,9 @@
 
 def test_a_hold_is_renewed_with_the_lease_but_not_with_each_grant(holds):
     grant_and_confirm(holds)
-    holds.take_grant(grant(2, (0, 99, 7)), 10.4)
+    holds.apply_grant(grant(2, (0, 99, 7)), 10.4)
     assert holds.due(10.4) == []
-    holds.take_grant(grant(3, (0, 99, 7)), 10.8)
+    holds.apply_grant(grant(3, (0, 99, 7)), 10.8)
     (order,) = holds.due(10.8)
     assert isinstance(order, GrantOrder)
 
@@ -78,10 +78,10 @@
 def test_a_hanging_call_does_not_delay_calls_for_other_keys(holds):
     # Guards against: a target leaves one call unanswered, the holds of other keys
     # aren't renewed meanwhile and expire, and requests for those keys fail.
-    holds.take_grant(grant(1, (0, 99, 7), (200, 299, 8)), 10.0)
+    holds.apply_grant(grant(1, (0, 99, 7), (200, 299, 8)), 10.0)
     first, second = holds.due(10.0)
     holds.ended(second, OrderEnd.DONE, 10.0)
-    holds.take_grant(grant(2, (0, 99, 7), (200, 299, 8)), 11.0)
+    holds.apply_grant(grant(2, (0, 99, 7), (200, 299, 8)), 11.0)
     assert summaries(holds.due(11.0)) == [(GrantOrder, 200, 299, 8)]
     holds.ended(first, OrderEnd.UNANSWERED, 11.1)
     assert summaries(holds.due(11.1)) == [(GrantOrder, 0, 99, 7)]
@@ -89,7 +89,7 @@
 
 def test_a_moved_part_of_a_range_is_released_and_the_rest_stays_held(holds):
     grant_and_confirm(holds)
-    holds.take_grant(grant(2, (0, 39, 7), (60, 99, 7)), 10.1)
+    holds.apply_grant(grant(2, (0, 39, 7), (60, 99, 7)), 10.1)
     (order,) = holds.due(10.1)
     assert summaries([order]) == [(ReleaseOrder, 40, 59, 7)]
     assert holds.holds(39, 10.1) and not holds.holds(40, 10.1)
@@ -102,7 +102,7 @@
 
 def test_an_unanswered_release_is_retried(holds):
     grant_and_confirm(holds)
-    holds.take_grant(grant(2), 10.1)
+    holds.apply_grant(grant(2), 10.1)
     (order,) = holds.due(10.1)
     holds.ended(order, OrderEnd.UNANSWERED, 11.6)
     assert holds.held(11.6) == (Hold(0, 99, 7),)
@@ -115,10 +115,10 @@
     # right after. The target executes the call a second later and holds the keys again,
     # at the same time as the next owner.
     grant_and_confirm(holds)
-    holds.take_grant(grant(2, (0, 99, 7)), 11.0)
+    holds.apply_grant(grant(2, (0, 99, 7)), 11.0)
     (renewal,) = holds.due(11.0)
     holds.ended(renewal, OrderEnd.UNANSWERED, 11.4)
-    holds.take_grant(grant(3), 11.4)
+    holds.apply_grant(grant(3), 11.4)
     (order,) = holds.due(11.4)
     holds.ended(order, OrderEnd.DONE, 11.5, "token")
     assert holds.held(11.5) == (Hold(0, 99, 7),)
@@ -130,12 +130,12 @@
 
 
 def test_keys_refused_under_a_token_are_not_ordered_again(holds):
-    holds.take_grant(grant(1, (0, 99, 7)), 10.0)
+    holds.apply_grant(grant(1, (0, 99, 7)), 10.0)
     (order,) = holds.due(10.0)
     holds.ended(order, OrderEnd.SUPERSEDED, 10.0)
     assert holds.refused == (Hold(0, 99, 7),)
     assert holds.due(10.1) == []
-    holds.take_grant(grant(2, (0, 99, 9)), 10.4)
+    holds.apply_grant(grant(2, (0, 99, 9)), 10.4)
     assert summaries(holds.due(10.4)) == [(GrantOrder, 0, 99, 9)]
     assert holds.refused == ()
 
@@ -153,10 +153,10 @@
     # one doesn't know of the move. Without the handover the keys would be slow, as
     # after a crash.
     grant_and_confirm(holds)
-    holds.take_grant(grant(2), 10.1)
+    holds.apply_grant(grant(2), 10.1)
     (order,) = holds.due(10.1)
     holds.ended(order, OrderEnd.DONE, 10.2, "mine")
-    holds.take_grant(grant(3, (0, 99, 7)), 10.5)
+    holds.apply_grant(grant(3, (0, 99, 7)), 10.5)
     (regranted,) = holds.due(10.5)
     assert regranted.handover == "mine"
 
--- a/tests/sidecar/test_callers.py
+++ b/tests/sidecar/test_callers.py
@@ -108,8 +108,8 @@
 
 
 def apply_view(view):
-    view.take(TargetsView(1, (Target(LIFE, "i", 1, "s", "a", "h", 1, 4),)))
-    view.take(ConfigurationView(1, CONFIGURATION))
+    view.apply_update(TargetsView(1, (Target(LIFE, "i", 1, "s", "a", "h", 1, 4),)))
+    view.apply_update(ConfigurationView(1, CONFIGURATION))
 
 
 def test_a_request_waits_for_the_first_configuration():
@@ -138,7 +138,7 @@
     # A daemon whose link to the leader is congested doesn't have a new route yet. It
     # must not refuse callers with an error after which they don't retry.
     view = View()
-    view.take(ConfigurationView(1, Configuration(1, (ServiceSpec("s"),), ())))
+    view.apply_update(ConfigurationView(1, Configuration(1, (ServiceSpec("s"),), ())))
     view.confirm(boot_s() - age_s)
     response, took_s = send_request(view, 2000.0)
     assert response.headers == ((b"Kind", kind.name.encode()),)
--- a/tests/sidecar/test_target_state.py
+++ b/tests/sidecar/test_target_state.py
@@ -43,40 +43,40 @@
 @pytest.fixture
 def state():
     state = TargetState(SETTINGS, "10.0.0.1", 7000)
-    state.take(make_heartbeat(), 10.0)
+    state.apply_heartbeat(make_heartbeat(), 10.0)
     return state
 
 
 def test_a_heartbeat_reply_names_no_keys_without_a_lease(state):
-    assert state.take(make_heartbeat(2), 11.0).ranges is None
+    assert state.apply_heartbeat(make_heartbeat(2), 11.0).ranges is None
 
 
 def test_a_hold_expires_before_the_lease_even_on_the_slowest_clock(state):
     # The control group reassigns the keys when the lease expires. A target whose clock
     # is slow holds them for longer than it was told; if that were longer than the
     # lease, both targets would run requests for them.
-    state.take_grant(grant(state), requested_s=10.0)
-    reply = state.take(make_heartbeat(2), 11.5)
+    state.apply_grant(grant(state), requested_s=10.0)
+    reply = state.apply_heartbeat(make_heartbeat(2), 11.5)
     assert 11.5 + reply.hold_s / SLOWEST_CLOCK < 14.0
 
 
 def test_an_expired_lease_renews_no_holds(state):
-    state.take_grant(grant(state), requested_s=10.0)
-    assert state.take(make_heartbeat(2), 14.0).ranges is None
+    state.apply_grant(grant(state), requested_s=10.0)
+    assert state.apply_heartbeat(make_heartbeat(2), 14.0).ranges is None
     assert not state.holds(5, 14.0)
 
 
 def test_an_older_grant_does_not_replace_a_newer_one(state):
     # A deposed leader's grant was delayed. If it were applied, it would grant keys
     # again that the target has released since.
-    state.take_grant(grant(state, 5, ranges=(), term=2), requested_s=10.0)
-    state.take_grant(grant(state, 9, term=1), requested_s=10.0)
-    assert state.take(make_heartbeat(2), 11.0).ranges == ()
+    state.apply_grant(grant(state, 5, ranges=(), term=2), requested_s=10.0)
+    state.apply_grant(grant(state, 9, term=1), requested_s=10.0)
+    assert state.apply_heartbeat(make_heartbeat(2), 11.0).ranges == ()
 
 
 def test_a_grant_to_another_life_is_not_passed_to_the_target(state):
-    state.take_grant(grant(state), requested_s=10.0)
-    reply = state.take(make_heartbeat(1, born_ms=2), 11.0)
+    state.apply_grant(grant(state), requested_s=10.0)
+    reply = state.apply_heartbeat(make_heartbeat(1, born_ms=2), 11.0)
     assert reply.ranges is None
     assert state.ended_lives == ["i@1@10.0.0.1:7000"]
 
@@ -91,21 +91,21 @@
     ids=["older sequence", "earlier life", "earlier life of another name"],
 )
 def test_a_delayed_heartbeat_is_ignored(state, delayed):
-    state.take(make_heartbeat(3), 11.0)
+    state.apply_heartbeat(make_heartbeat(3), 11.0)
     delayed = attrs.evolve(delayed, phase=TargetPhase.DRAINING)
-    assert state.take(delayed, 12.0).ranges is None
+    assert state.apply_heartbeat(delayed, 12.0).ranges is None
     assert state.heartbeat == make_heartbeat(3)
     assert state.accepts_new(False, 12.0)
 
 
 def test_a_draining_target_gets_no_requests_that_other_targets_can_run(state):
-    state.take(make_heartbeat(2, phase=TargetPhase.DRAINING), 11.0)
+    state.apply_heartbeat(make_heartbeat(2, phase=TargetPhase.DRAINING), 11.0)
     assert not state.accepts_new(False, 11.0)
     assert state.target(11.0).phase is TargetPhase.DRAINING
 
 
 def test_a_draining_owner_serves_its_keys_only_within_the_drain_time(state):
-    state.take(make_heartbeat(2, phase=TargetPhase.DRAINING), 11.0)
+    state.apply_heartbeat(make_heartbeat(2, phase=TargetPhase.DRAINING), 11.0)
     assert state.accepts_new(True, 12.0)
     assert not state.accepts_new(True, 11.0 + SETTINGS.drain_s)
 
@@ -123,13 +123,13 @@
 
 
 def test_the_settled_grant_is_the_newest_one_that_a_heartbeat_followed(state):
-    state.take_grant(grant(state, 1), requested_s=10.0)
-    state.take(make_heartbeat(2), 10.5)
+    state.apply_grant(grant(state, 1), requested_s=10.0)
+    state.apply_heartbeat(make_heartbeat(2), 10.5)
     assert state.settled == GrantId()
-    state.take_grant(grant(state, 2, ranges=()), requested_s=10.6)
-    state.take(make_heartbeat(3, holds=(Hold(0, 99, 7),)), 11.0)
+    state.apply_grant(grant(state, 2, ranges=()), requested_s=10.6)
+    state.apply_heartbeat(make_heartbeat(3, holds=(Hold(0, 99, 7),)), 11.0)
     assert state.settled == GrantId(1, 1)
-    state.take(make_heartbeat(4), 11.1)
+    state.apply_heartbeat(make_heartbeat(4), 11.1)
     assert state.settled == GrantId(1, 2)
 
 
@@ -138,11 +138,14 @@
     # reports don't prove that it may still hold them.
     restarted = TargetState(SETTINGS, "10.0.0.1", 7000)
     assert (
-        restarted.take(make_heartbeat(7, holds=(Hold(0, 99, 7),)), 20.0).ranges is None
+        restarted.apply_heartbeat(
+            make_heartbeat(7, holds=(Hold(0, 99, 7),)), 20.0
+        ).ranges
+        is None
     )
     # The daemon may still send it requests: the target refuses keys it doesn't hold.
     assert restarted.holds(5, 20.1)
     assert not restarted.holds(500, 20.1)
     assert not restarted.holds(5, 22.0)
-    restarted.take_grant(grant(restarted, 3), requested_s=20.0)
-    assert restarted.take(make_heartbeat(8), 21.0).ranges
+    restarted.apply_grant(grant(restarted, 3), requested_s=20.0)
+    assert restarted.apply_heartbeat(make_heartbeat(8), 21.0).ranges
