--- a/tamarackhaven/fleet/_control.py
+++ b/tamarackhaven/fleet/_control.py
@@ -423,7 +423,7 @@
 
     def _on_proposal_outcome(self, leadership, command, is_void):
         if is_void:
-            leadership.not_taken(command)
+            leadership.discard_change(command)
         self._schedule_decision()
 
     # Operators' orders.
--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -203,9 +203,9 @@
             result.extend(parts)
         return tuple(result)
 
-    def not_taken(self, command):
+    def discard_change(self, command):
         """Discard a change from ``tick`` that wasn't committed, or was void."""
-        self._open_changes.not_taken(command)
+        self._open_changes.discard(command)
 
     @property
     def undecided_count(self):
@@ -218,7 +218,7 @@
         """Return the changes that are due, as a list of ``AssignKeys``.
 
         Their keys are granted to no target until ``state`` shows the outcome, or
-        ``not_taken`` is called.
+        ``discard_change`` is called.
 
         At most one change of a service is in flight; later ones wait for the next.
         Otherwise, while a disk is stalled and releases are received, every call would
--- a/tamarackhaven/fleet/_open_changes.py
+++ b/tamarackhaven/fleet/_open_changes.py
@@ -20,7 +20,7 @@
         """Add a change that is being proposed."""
         self._command_by_service[command.service] = command
 
-    def not_taken(self, command):
+    def discard(self, command):
         """Remove a change that wasn't committed, or was void."""
         if self._command_by_service.get(command.service) is command:
             del self._command_by_service[command.service]
--- a/tests/fleet/test_leadership.py
+++ b/tests/fleet/test_leadership.py
@@ -297,7 +297,7 @@
     group.now += LEASE_S + 1.0
     group.report(a)
     (command,) = group.leader.tick(group.state, group.now)
-    group.leader.not_taken(command)
+    group.leader.discard_change(command)
     assert group.tick()
     assert group.owners() == {a.life}
 
@@ -308,7 +308,7 @@
     group.now += LEASE_S + 1.0
     group.report(a)
     (command,) = group.leader.tick(group.state, group.now)
-    group.leader.not_taken(command)
+    group.leader.discard_change(command)
     assert group.report(b).ranges == tuple(group.owned(b))
 
 
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -211,7 +211,7 @@
             self.index += 1
             outcome = self.state.apply(self.index, command)
             if outcome.kind is not None and leader is self.leader is not None:
-                leader.not_taken(command)
+                leader.discard_change(command)
 
     def _inject_fault(self):
         vm = self.random.choice(self.vms)
