--- a/tamarackhaven/sidecar/_budget.py
+++ b/tamarackhaven/sidecar/_budget.py
@@ -7,7 +7,7 @@
 DIRECT_RETRY_FRACTION = 0.6
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and retries of one service in a sliding window.
 
     Parameters
@@ -21,11 +21,11 @@
         self._requests = collections.deque()
         self._retries = collections.deque()
 
-    def request(self, now):
+    def count_request(self, now):
         """Count a caller's request."""
         self._requests.append(now)
 
-    def take(self, daemon_count, now):
+    def try_spend(self, daemon_count, now):
         """Count a retry if the budget allows one; return whether it did.
 
         Parameters
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -10,7 +10,7 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.net import HttpResponse
 from tamarackhaven.routing import RequestKind, Splitter
-from tamarackhaven.sidecar._budget import RepeatBudget
+from tamarackhaven.sidecar._budget import RetryBudget
 from tamarackhaven.sidecar._choice import Chooser, has_failed
 from tamarackhaven.sidecar._messages import (
     Answered,
@@ -247,7 +247,7 @@
         TamarackhavenError
             The kind of the last refusal or loss.
         """
-        self._service_budget(pending.spec.name).request(boot_s())
+        self._service_budget(pending.spec.name).count_request(boot_s())
         if pending.spec.sharded:
             return await self._serve_sharded(pending)
         return await self._serve_shared(pending)
@@ -255,7 +255,7 @@
     def _service_budget(self, service):
         budget = self._budget_by_service.get(service)
         if budget is None:
-            budget = RepeatBudget(self._settings.budget)
+            budget = RetryBudget(self._settings.budget)
             self._budget_by_service[service] = budget
         return budget
 
@@ -391,7 +391,7 @@
         min_left_s = MIN_RETRY_TIME_FRACTION * pending.route.objective_s
         if boot_s() + min_left_s >= pending.deadline_s:
             return False
-        is_allowed = self._service_budget(pending.spec.name).take(
+        is_allowed = self._service_budget(pending.spec.name).try_spend(
             self._view.daemon_count(), boot_s()
         )
         reason = getattr(result, "kind", "STATUS")
