--- a/benches/bench_links.py
+++ b/benches/bench_links.py
@@ -16,7 +16,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from standin.simulated_link import Patience, SimulatedLink
-from tamarackhaven.sidecar._arrivals import Arrivals
+from tamarackhaven.sidecar._arrivals import BodyTransfers
 from tamarackhaven.sidecar._gate import Offer
 
 LINK_BYTES_PER_S = 412_500.0
@@ -90,7 +90,7 @@
 def in_parts(bodies):
     """Let the product ask for the bodies."""
     result = Result(seconds=bodies[-1].at_s)
-    link = SimulatedLink(LINK_BYTES_PER_S, arrivals=Arrivals(Patience(WORK_S)))
+    link = SimulatedLink(LINK_BYTES_PER_S, arrivals=BodyTransfers(Patience(WORK_S)))
     for number, body in enumerate(bodies):
         while link.now < body.at_s:
             link.run(min(link.now + LOOK_S, body.at_s))
@@ -106,7 +106,7 @@
 
 def refuse(link, bodies, result):
     """Refuse what the product would refuse now."""
-    for number, _ in link.arrivals.in_vain(link.now):
+    for number, _ in link.arrivals.bodies_to_refuse(link.now):
         link.arrivals.drop(number)
         result.refused_after_s.append(link.now - bodies[number].at_s)
 
--- a/standin/simulated_link.py
+++ b/standin/simulated_link.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from tamarackhaven.sidecar._arrivals import Arrivals
+from tamarackhaven.sidecar._arrivals import BodyTransfers
 
 
 @attrs.frozen
@@ -33,13 +33,13 @@
         What the link carries.
     way_s : float
         From the question for a part to its first byte.
-    arrivals : Arrivals
+    arrivals : BodyTransfers
         Under test.
     """
 
     bytes_per_s: float
     way_s: float = 0.002
-    arrivals: Arrivals = attrs.field(factory=lambda: Arrivals(Patience()))
+    arrivals: BodyTransfers = attrs.field(factory=lambda: BodyTransfers(Patience()))
     now: float = 0.0
     came_bytes: int = 0
     longest_queue_s: float = 0.0
@@ -54,7 +54,7 @@
         return max(self._free_s - self.now - self.way_s, 0.0)
 
     def _ask(self):
-        for part in self.arrivals.asks(self.now):
+        for part in self.arrivals.next_parts(self.now):
             begins_s = max(self._free_s, self.now + self.way_s)
             self.longest_queue_s = max(self.longest_queue_s, begins_s - self.now)
             self._free_s = begins_s + part.count / self.bytes_per_s
@@ -71,11 +71,11 @@
 
     def _take(self, part):
         # What is on its way of a body that was given up comes all the same.
-        is_wanted = self.arrivals.left_of(part.key) > 0
-        came = self.arrivals.came(part.key, part.offset, part.count, self.now)
+        is_wanted = self.arrivals.remaining_bytes_of(part.key) > 0
+        came = self.arrivals.part_received(part.key, part.offset, part.count, self.now)
         assert came is is_wanted
         if came:
             self.came_bytes += part.count
-        if came and not self.arrivals.left_of(part.key):
+        if came and not self.arrivals.remaining_bytes_of(part.key):
             self.whole_s_by_key[part.key] = self.now
             self.arrivals.drop(part.key)
--- a/tamarackhaven/sidecar/_arrivals.py
+++ b/tamarackhaven/sidecar/_arrivals.py
@@ -149,7 +149,7 @@
         self._round_trips_s.append(round_trip_s)
 
 
-class Arrivals:
+class BodyTransfers:
     """The bodies that are being transferred to one VM.
 
     Parameters
@@ -166,11 +166,11 @@
         self.rate = LinkRate()
 
     @property
-    def left_bytes(self):
+    def remaining_bytes(self):
         """Bytes not yet received, of all bodies."""
         return sum(body.remaining_bytes for body in self._body_by_key.values())
 
-    def left_of(self, key):
+    def remaining_bytes_of(self, key):
         """Return the bytes of one body that are not yet received."""
         body = self._body_by_key.get(key)
         return body.remaining_bytes if body is not None else 0
@@ -219,14 +219,14 @@
         """Remove a body that is complete, refused or cancelled."""
         self._body_by_key.pop(key, None)
 
-    def renew(self, key):
+    def restart_transfer(self, key):
         """Mark the parts in flight as lost with their link."""
         body = self._body_by_key.get(key)
         if body is not None:
             body.requested_bytes = body.received_bytes
             body.in_flight.clear()
 
-    def came(self, key, offset, count, now):
+    def part_received(self, key, offset, count, now):
         """Record a received part; return whether it is the one expected next."""
         body = self._body_by_key.get(key)
         if body is None or offset != body.received_bytes or not body.in_flight:
@@ -242,7 +242,7 @@
             self.rate.add_round_trip(now - request.requested_s)
         return True
 
-    def asks(self, now):
+    def next_parts(self, now):
         """Return the parts to request now, as a list of ``Part``."""
         bodies = sorted(
             self._body_by_key.values(), key=lambda body: self._rank(body, now)
@@ -279,7 +279,7 @@
         self.rate.part_requested(is_alone, now)
         return part
 
-    def in_vain(self, now):
+    def bodies_to_refuse(self, now):
         """Return the bodies to refuse, as a list of key and expected seconds.
 
         A body that has begun to arrive is refused only if it can't be complete by its
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -189,7 +189,7 @@
     def _update_link_gauges(self):
         """Set the gauges of bytes in flight, for the metrics page."""
         intake = self.inbound.intake
-        self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.left_bytes)
+        self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.remaining_bytes)
         self.metrics.gauge(
             "tamarackhaven_link_arriving_bytes", self._link_server.arriving_bytes
         )
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -10,7 +10,7 @@
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.sidecar._dialect import Verdict
 from tamarackhaven.sidecar._gate import Gate, Offer, Refuse, Start, cold_starts
-from tamarackhaven.sidecar._intake import Intake
+from tamarackhaven.sidecar._intake import BodyReceiver
 from tamarackhaven.sidecar._key_load import KeyLoad
 from tamarackhaven.sidecar._messages import Answered, GateLoad, Lost, NotRun
 from tamarackhaven.sidecar._pulse import ChangeSignal
@@ -68,7 +68,7 @@
         self._metrics = metrics
         self.client = TargetClient(host, port)
         self._gate = Gate(1, random.random)
-        self.intake = Intake(self._gate, metrics)
+        self.intake = BodyReceiver(self._gate, metrics)
         self._future_by_number = {}
         self._offer_numbers = itertools.count()
         self._sending = set()
@@ -102,7 +102,7 @@
             gate.slots,
             gate.route_work_s(route) * 1000,
             self._state.is_cold(boot_s()),
-            self.intake.left_bytes,
+            self.intake.remaining_bytes,
             self.intake.bytes_per_s,
         )
 
@@ -211,13 +211,13 @@
         """Receive a request's body; return it, or a ``Refuse`` before it is sent."""
         self._update_cold()
         transfer_s = self.intake.expected_s(incoming.size, offer)
-        has_other_arrivals = self.intake.left_bytes > 0
+        has_other_arrivals = self.intake.remaining_bytes > 0
         gate_refusal = self._gate.foresee(
             offer, transfer_s, has_other_arrivals, boot_s()
         )
         if gate_refusal is not None:
             return gate_refusal
-        return await self.intake.bring(incoming, offer)
+        return await self.intake.receive(incoming, offer)
 
     async def _refusal_kind(self, forward, deadline_s):
         """Return the ``ErrorKind`` why the target must not get the request, or None."""
@@ -467,7 +467,7 @@
             "slots": self._gate.slots,
             "work_ms": round(self._gate.work_s * 1000),
             "is_cold": state.is_cold(now),
-            "arriving_bytes": self.intake.left_bytes,
+            "arriving_bytes": self.intake.remaining_bytes,
             "link_bytes_per_s": round(self.intake.bytes_per_s),
         }
 
--- a/tamarackhaven/sidecar/_intake.py
+++ b/tamarackhaven/sidecar/_intake.py
@@ -5,7 +5,7 @@
 import attrs
 
 from tamarackhaven._clock import boot_s
-from tamarackhaven.sidecar._arrivals import Arrivals
+from tamarackhaven.sidecar._arrivals import BodyTransfers
 
 # How often the bodies are reviewed when no part arrives: a sender may have stopped, and
 # bodies that can't arrive in time any more are refused.
@@ -25,7 +25,8 @@
     data : bytearray
         The bytes received so far.
     end : asyncio.Future or None
-        Set to the whole body or a ``Refuse`` while ``Intake.bring`` waits for it.
+        Set to the whole body or a ``Refuse`` while ``BodyReceiver.receive`` waits
+        for it.
     """
 
     size: int
@@ -34,7 +35,7 @@
     end: object = None
 
 
-class Intake:
+class BodyReceiver:
     """Transfers bodies to this daemon.
 
     Parameters
@@ -48,41 +49,41 @@
     def __init__(self, gate, metrics):
         self._gate = gate
         self._metrics = metrics
-        self._arrivals = Arrivals(gate)
+        self._transfers = BodyTransfers(gate)
         self._offer_by_body = {}
         self._review_timer = None
 
     @property
-    def left_bytes(self):
+    def remaining_bytes(self):
         """Bytes not yet received, of all bodies."""
-        return self._arrivals.left_bytes
+        return self._transfers.remaining_bytes
 
     @property
     def bytes_per_s(self):
         """Recent throughput of the link in bytes per second, 0 if unknown."""
-        return self._arrivals.rate.bytes_per_s or 0.0
+        return self._transfers.rate.bytes_per_s or 0.0
 
     def expected_s(self, size, offer):
         """Return the estimated seconds to receive a body of ``size`` bytes."""
-        return self._arrivals.expected_s(size, offer, boot_s())
+        return self._transfers.expected_s(size, offer, boot_s())
 
-    async def bring(self, body, offer):
+    async def receive(self, body, offer):
         """Transfer an ``IncomingBody``; return its bytes, or a ``Refuse``."""
         body.end = asyncio.get_running_loop().create_future()
         self._offer_by_body[body] = offer
-        self._arrivals.announce(body, body.size, offer)
+        self._transfers.announce(body, body.size, offer)
         self._request_parts()
         try:
             return await body.end
         finally:
-            self._arrivals.drop(body)
+            self._transfers.drop(body)
             del self._offer_by_body[body]
             body.end = None
             self._request_parts()
 
-    def take(self, body, offset, data):
+    def add_part(self, body, offset, data):
         """Add a received part to a body; ignore one that isn't expected."""
-        if not self._arrivals.came(body, offset, len(data), boot_s()):
+        if not self._transfers.part_received(body, offset, len(data), boot_s()):
             return
         self._metrics.count("tamarackhaven_body_bytes_total", len(data))
         body.data += data
@@ -90,13 +91,13 @@
             body.end.set_result(bytes(body.data))
         self._request_parts()
 
-    def renew(self, body):
+    def restart_transfer(self, body):
         """Request again the parts that were lost with a link."""
-        self._arrivals.renew(body)
+        self._transfers.restart_transfer(body)
         self._request_parts()
 
     def _request_parts(self):
-        for part in self._arrivals.asks(boot_s()):
+        for part in self._transfers.next_parts(boot_s()):
             part.key.ask(part.offset, part.count)
         if self._review_timer is None and self._offer_by_body:
             loop = asyncio.get_running_loop()
@@ -104,8 +105,8 @@
 
     def _review(self):
         self._review_timer = None
-        for body, wait_s in self._arrivals.in_vain(boot_s()):
-            self._arrivals.drop(body)
+        for body, wait_s in self._transfers.bodies_to_refuse(boot_s()):
+            self._transfers.drop(body)
             if not body.end.done():
                 body.end.set_result(
                     self._gate.refuse(self._offer_by_body[body], wait_s)
--- a/tamarackhaven/sidecar/_peers.py
+++ b/tamarackhaven/sidecar/_peers.py
@@ -366,7 +366,7 @@
         Random name of this daemon's run.
     runs : Runs
         Runs requests at the target beside this daemon.
-    intake : Intake
+    intake : BodyReceiver
         Receives announced bodies.
     """
 
@@ -397,7 +397,7 @@
         elif isinstance(message, BodyPart):
             body = self._body_by_key.get((boot, message.number))
             if body is not None:
-                self._intake.take(body, message.offset, message.data)
+                self._intake.add_part(body, message.offset, message.data)
         elif isinstance(message, WaitQuery):
             wait_s = self._runs.expected_wait_s(message)
             link.send(WaitReply(message.number, wait_s))
@@ -411,7 +411,7 @@
             # It's still running; only parts of its body may have been lost with the
             # former link.
             if key in self._body_by_key:
-                self._intake.renew(self._body_by_key[key])
+                self._intake.restart_transfer(self._body_by_key[key])
             return
         if forward.body_bytes:
             self._body_by_key[key] = self._incoming_body(boot, forward)
--- a/tests/sidecar/test_arrivals.py
+++ b/tests/sidecar/test_arrivals.py
@@ -9,7 +9,7 @@
     MIN_PART_BYTES,
     MIN_PARTS_IN_FLIGHT,
     STALL_TIMEOUT_S,
-    Arrivals,
+    BodyTransfers,
 )
 from tamarackhaven.sidecar._gate import Offer
 
@@ -48,17 +48,17 @@
 
 def test_a_stalled_sender_does_not_block_the_others():
     # Guards against: a stalled daemon holds all parts that may be in flight.
-    arrivals = Arrivals(Patience())
+    arrivals = BodyTransfers(Patience())
     arrivals.announce("frozen", 10_000, offer())
     arrivals.announce("other", 60_000, offer())
-    first = arrivals.asks(0.0)
+    first = arrivals.next_parts(0.0)
     assert {part.key for part in first} == {"frozen", "other"}
     now = 0.0
     for part in first:
         if part.key == "other":
             now += 0.01
-            arrivals.came(part.key, part.offset, part.count, now)
-    later_parts = arrivals.asks(now + STALL_TIMEOUT_S)
+            arrivals.part_received(part.key, part.offset, part.count, now)
+    later_parts = arrivals.next_parts(now + STALL_TIMEOUT_S)
     assert (
         sum(part.count for part in later_parts)
         >= (MIN_PARTS_IN_FLIGHT - 1) * MIN_PART_BYTES
@@ -78,7 +78,7 @@
         at_s = number * interval_s
         link.run(at_s)
         link.arrivals.announce(number, size, offer(at_s + 1.0, at_s + 3.0))
-        for key, _ in link.arrivals.in_vain(at_s):
+        for key, _ in link.arrivals.bodies_to_refuse(at_s):
             link.arrivals.drop(key)
             refused += 1
         link_free_s = max(link_free_s, at_s) + size / NARROW_BYTES_PER_S
@@ -93,51 +93,51 @@
 
 
 def test_only_bodies_that_have_not_begun_are_refused_for_a_long_queue():
-    arrivals = Arrivals(Patience())
+    arrivals = BodyTransfers(Patience())
     for number in range(30):
         arrivals.announce(number, 60_000, offer())
-    assert not arrivals.in_vain(0.0)
+    assert not arrivals.bodies_to_refuse(0.0)
     begun_keys = set()
-    for part in arrivals.asks(0.0):
+    for part in arrivals.next_parts(0.0):
         begun_keys.add(part.key)
-        arrivals.came(part.key, part.offset, part.count, 0.01)
-    refused = {key for key, _ in arrivals.in_vain(0.02)}
+        arrivals.part_received(part.key, part.offset, part.count, 0.01)
+    refused = {key for key, _ in arrivals.bodies_to_refuse(0.02)}
     assert refused
     assert not refused & begun_keys
     assert len(refused) < 30 - len(begun_keys)
 
 
 def test_a_begun_body_is_refused_if_it_would_miss_its_deadline():
-    arrivals = Arrivals(Patience())
+    arrivals = BodyTransfers(Patience())
     arrivals.announce("a", 500_000, offer(1.0, 2.0))
     now = 0.0
-    for part in arrivals.asks(now):
+    for part in arrivals.next_parts(now):
         now += 0.01
-        arrivals.came(part.key, part.offset, part.count, now)
-    assert not arrivals.in_vain(now)
-    assert [key for key, _ in arrivals.in_vain(1.9)] == ["a"]
+        arrivals.part_received(part.key, part.offset, part.count, now)
+    assert not arrivals.bodies_to_refuse(now)
+    assert [key for key, _ in arrivals.bodies_to_refuse(1.9)] == ["a"]
 
 
 def test_parts_lost_with_a_link_are_requested_again():
-    arrivals = Arrivals(Patience())
+    arrivals = BodyTransfers(Patience())
     arrivals.announce("a", 60_000, offer())
-    first, *_ = arrivals.asks(0.0)
-    arrivals.renew("a")
+    first, *_ = arrivals.next_parts(0.0)
+    arrivals.restart_transfer("a")
     # A late part from the former link isn't accepted twice.
-    assert not arrivals.came("a", first.offset, first.count, 0.01)
-    assert arrivals.asks(0.02)[0] == first
+    assert not arrivals.part_received("a", first.offset, first.count, 0.01)
+    assert arrivals.next_parts(0.02)[0] == first
 
 
 def test_an_urgent_or_short_body_is_requested_first():
-    arrivals = Arrivals(Patience())
+    arrivals = BodyTransfers(Patience())
     arrivals.announce("large", 200_000, offer())
     arrivals.announce("small", 9_000, offer())
     arrivals.announce("urgent", 60_000, offer(priority=0))
-    assert arrivals.asks(0.0)[0].key == "urgent"
+    assert arrivals.next_parts(0.0)[0].key == "urgent"
     arrivals.drop("urgent")
-    arrivals.renew("large")
-    arrivals.renew("small")
-    assert arrivals.asks(1.0)[0].key == "small"
+    arrivals.restart_transfer("large")
+    arrivals.restart_transfer("small")
+    assert arrivals.next_parts(1.0)[0].key == "small"
 
 
 def test_a_begun_body_is_completed_even_if_it_becomes_late():
@@ -151,7 +151,7 @@
         at_s += source.expovariate(1.5 * NARROW_BYTES_PER_S / 60_000)
         while link.now < at_s:
             link.run(min(link.now + 0.05, at_s))
-            for refused, _ in link.arrivals.in_vain(link.now):
+            for refused, _ in link.arrivals.bodies_to_refuse(link.now):
                 assert link.now - at_s_by_key[refused] < 1.0
                 link.arrivals.drop(refused)
         size = int(60_000 * source.lognormvariate(-0.2, 0.6))
--- a/tests/sidecar/test_peers.py
+++ b/tests/sidecar/test_peers.py
@@ -9,7 +9,7 @@
 from tamarackhaven._metrics import Metrics
 from tamarackhaven.net import LinkServer
 from tamarackhaven.sidecar._gate import Gate, Offer
-from tamarackhaven.sidecar._intake import Intake
+from tamarackhaven.sidecar._intake import BodyReceiver
 from tamarackhaven.sidecar._messages import (
     PEER_CODEC,
     Answered,
@@ -44,7 +44,7 @@
     """Fake of ``Inbound`` that records the requests that it runs."""
 
     def __init__(self):
-        self.intake = Intake(Gate(6, lambda: 0.0), Metrics())
+        self.intake = BodyReceiver(Gate(6, lambda: 0.0), Metrics())
         self.bodies = []
         self.receives_bodies = True
         self.ran = []
@@ -56,7 +56,7 @@
         if incoming is not None and self.receives_bodies:
             now = boot_s()
             offer = Offer(forward.number, "r", 1, now + 1.0, now + 2.0)
-            self.bodies.append(await self.intake.bring(incoming, offer))
+            self.bodies.append(await self.intake.receive(incoming, offer))
         self.ran.append(forward.number)
         try:
             await self.may_end.wait()
@@ -171,16 +171,16 @@
     async def test(pair):
         pair.target.may_end.set()
         waiting = pair.forward(is_safe=False, body=LARGE_BODY)
-        real_take = pair.target.intake.take
+        real_add_part = pair.target.intake.add_part
 
-        def take(body, offset, data):
-            real_take(body, offset, data)
+        def add_part(body, offset, data):
+            real_add_part(body, offset, data)
             if offset and not broken_offsets:
                 broken_offsets.append(offset)
                 pair.break_links()
 
         broken_offsets = []
-        pair.target.intake.take = take
+        pair.target.intake.add_part = add_part
         assert isinstance(await waiting, Answered)
         assert broken_offsets
         assert pair.target.bodies == [LARGE_BODY]
@@ -218,12 +218,12 @@
 def test_a_cancelled_request_stops_the_transfer_of_its_body():
     async def test(pair):
         part_received = asyncio.Event()
-        pair.target.intake.take = lambda *_: part_received.set()
+        pair.target.intake.add_part = lambda *_: part_received.set()
         waiting = pair.forward(body=LARGE_BODY)
         await part_received.wait()
-        assert pair.target.intake.left_bytes
+        assert pair.target.intake.remaining_bytes
         waiting.cancel()
-        await pair.until(lambda: not pair.target.intake.left_bytes)
+        await pair.until(lambda: not pair.target.intake.remaining_bytes)
 
     run(test)
 
@@ -380,12 +380,12 @@
     async def test(pair):
         part_received = asyncio.Event()
         pair.target.is_sent = False
-        pair.target.intake.take = lambda *_: part_received.set()
+        pair.target.intake.add_part = lambda *_: part_received.set()
         waiting = pair.forward(is_safe=False, body=LARGE_BODY)
         await part_received.wait()
         began_s = boot_s()
         pair.peers.close()
-        await pair.until(lambda: not pair.target.intake.left_bytes)
+        await pair.until(lambda: not pair.target.intake.remaining_bytes)
         assert boot_s() - began_s < 1.0
         waiting.cancel()
 
