--- a/benches/bench_capacity.py
+++ b/benches/bench_capacity.py
@@ -22,7 +22,7 @@
 from tamarackhaven._changes import PutResource  # noqa: E402
 from tamarackhaven._control_client import ControlClient  # noqa: E402
 from tamarackhaven._events import HotKey, LoadReport  # noqa: E402
-from tamarackhaven._fetch_pace import QUIET_EVERY_S  # noqa: E402
+from tamarackhaven._fetch_pace import CONFIRMED_INTERVAL_S  # noqa: E402
 from tamarackhaven._lease_wire import (  # noqa: E402
     Ack,
     Hint,
@@ -31,9 +31,9 @@
     encode,
 )
 from tamarackhaven._load_reports import (  # noqa: E402
-    HOT_KEYS_REPORTED,
-    PAUSE_FOR_KEY_S,
-    REPORT_EVERY_S,
+    MAX_HOT_KEYS,
+    PAUSE_PER_HOT_KEY_S,
+    REPORT_INTERVAL_S,
 )
 from tamarackhaven._members import Member  # noqa: E402
 from tamarackhaven._model import AvailabilityZone  # noqa: E402
@@ -130,21 +130,21 @@
         keys: passed(
             relay, lambda keys=keys: client.report(report_of(keys), CALL_TIMEOUT_S)
         )
-        for keys in (0, HOT_KEYS_REPORTED)
+        for keys in (0, MAX_HOT_KEYS)
     }
     client.close()
     rounds = 1000 / LeaseSettings().renew_ms * VOTERS
     hints = VOTERS * udp(Hint(1))
     change_rate = CHANGES_A_DAY / 86_400
-    full_s = REPORT_EVERY_S + PAUSE_FOR_KEY_S * HOT_KEYS_REPORTED
+    full_s = REPORT_INTERVAL_S + PAUSE_PER_HOT_KEY_S * MAX_HOT_KEYS
     rows = [
         ("renewals", udp(Renewal(1, 1, 1)), rounds),
         ("answers", udp(Ack(1, Reason.GRANTED, 1)), rounds),
-        ("watch at rest", idle.on_the_wire, 1 / QUIET_EVERY_S),
+        ("watch at rest", idle.on_the_wire, 1 / CONFIRMED_INTERVAL_S),
         ("a change: hints and fetch", changed.on_the_wire + hints, change_rate),
-        ("report, no hot key", reports[0].on_the_wire, 1 / REPORT_EVERY_S),
+        ("report, no hot key", reports[0].on_the_wire, 1 / REPORT_INTERVAL_S),
     ]
-    print_bytes(rows, reports[HOT_KEYS_REPORTED].on_the_wire, full_s)
+    print_bytes(rows, reports[MAX_HOT_KEYS].on_the_wire, full_s)
 
 
 def print_bytes(rows, full_report, full_s):
@@ -156,7 +156,7 @@
     )  # fmt: skip
     for name, size, rate in rows:
         model.row(name, size, f"{rate:.3f}", f"{size * rate:.0f}")
-    name = f"report, {HOT_KEYS_REPORTED} hot keys"
+    name = f"report, {MAX_HOT_KEYS} hot keys"
     model.row(name, full_report, f"{1 / full_s:.3f}", f"{full_report / full_s:.0f}")
     without = sum(size * rate for _, size, rate in rows)
     most = without - rows[-1][1] * rows[-1][2] + full_report / full_s
--- a/tamarackhaven/_fetch_pace.py
+++ b/tamarackhaven/_fetch_pace.py
@@ -8,7 +8,7 @@
 # Interval while the map isn't confirmed: no lease yet, or no replies to renewals.
 UNCONFIRMED_INTERVAL_S = 1.0
 # Interval while replies confirm the map; the fetch only keeps the connection open.
-QUIET_EVERY_S = 15.0
+CONFIRMED_INTERVAL_S = 15.0
 # Interval while a newer version is known, as the control VM may lag a little.
 RETRY_S = 0.05
 CONFIRMATION_TTL_S = 1.0
@@ -46,4 +46,4 @@
 def _interval_s(is_behind, is_confirmed):
     if is_behind:
         return RETRY_S
-    return QUIET_EVERY_S if is_confirmed else UNCONFIRMED_INTERVAL_S
+    return CONFIRMED_INTERVAL_S if is_confirmed else UNCONFIRMED_INTERVAL_S
--- a/tamarackhaven/_gate.py
+++ b/tamarackhaven/_gate.py
@@ -13,7 +13,7 @@
 from tamarackhaven._cold_start import ColdStart, RestartDetector
 from tamarackhaven._fair_queue import FairQueue
 from tamarackhaven._gate_messages import Admit, End, Refuse, Wait
-from tamarackhaven._limit import REPORT_LIFE_S, LatencyShift, LearnedLimit
+from tamarackhaven._limit import MAX_REPORT_AGE_S, LatencyShift, LearnedLimit
 from tamarackhaven._retry_after import ComeBackTimes, EmptyingRate
 from tamarackhaven.errors import ErrorKind
 
@@ -302,7 +302,7 @@
         if self._restart_detector.report(report, now):
             self._limit.restart()
             self._cold.begin(now)
-        if report.age_s <= REPORT_LIFE_S:
+        if report.age_s <= MAX_REPORT_AGE_S:
             self._limit.report(report.slots, now - report.age_s)
             self._free_abandoned(report, now - report.age_s)
 
--- a/tamarackhaven/_limit.py
+++ b/tamarackhaven/_limit.py
@@ -40,7 +40,7 @@
 # new release) sets the base after about 50 windows.
 BASE_GROWTH_FACTOR = 1.02
 # An older report doesn't describe the present state of the target.
-REPORT_LIFE_S = 5.0
+MAX_REPORT_AGE_S = 5.0
 
 
 class LatencyShift(enum.Enum):
@@ -119,7 +119,7 @@
         well is misleading, as sheds would show a lack of slots. So the bound is never
         below ``_proven_concurrency``.
         """
-        weight = max(0.0, 1.0 - (now - self._reported_at) / REPORT_LIFE_S)
+        weight = max(0.0, 1.0 - (now - self._reported_at) / MAX_REPORT_AGE_S)
         reported = weight * self._reported + (1.0 - weight) * self.slots
         return min(self.slots, max(reported, self._proven_concurrency, 1))
 
--- a/tamarackhaven/_load_reports.py
+++ b/tamarackhaven/_load_reports.py
@@ -13,13 +13,13 @@
 # each hot key. With 22 hot keys every 5 s, reports alone would take 350 of the 2,000
 # bytes a second that a daemon may spend on control traffic. With an additional pause
 # for each hot key they stay under 170 bytes a second for any number of hot keys.
-REPORT_EVERY_S = 5.0
-PAUSE_FOR_KEY_S = 0.25
+REPORT_INTERVAL_S = 5.0
+PAUSE_PER_HOT_KEY_S = 0.25
 # More digits would take bytes without use to the leader.
 SHARE_DECIMALS = 4
 RATE_DECIMALS = 1
 REPORT_TIMEOUT_S = 2.0
-HOT_KEYS_REPORTED = 22
+MAX_HOT_KEYS = 22
 
 
 class LoadReports:
@@ -40,13 +40,13 @@
 
     def _run(self):
         keys = 0
-        while not self._stopping.wait(REPORT_EVERY_S + PAUSE_FOR_KEY_S * keys):
+        while not self._stopping.wait(REPORT_INTERVAL_S + PAUSE_PER_HOT_KEY_S * keys):
             epoch = self._lease.epoch()
             keys = self._send(epoch) if epoch else 0
 
     def _send(self, epoch):
         """Send a report and return the number of its hot keys."""
-        load = self._daemon.seen_load.take(HOT_KEYS_REPORTED)
+        load = self._daemon.seen_load.take(MAX_HOT_KEYS)
         limit, is_cold = self._daemon.gate_state()
         now = boot_s()
         elapsed_s, self._counted_at_s = now - self._counted_at_s, now
--- a/tamarackhaven/_refusals.py
+++ b/tamarackhaven/_refusals.py
@@ -7,7 +7,7 @@
 
 # At a thousand refusals a second this covers the last one or two seconds. The log,
 # whose rate is limited by sentence, has samples of older ones.
-REFUSALS_KEPT = 2000
+MAX_REFUSALS = 2000
 
 
 @attrs.frozen
@@ -40,7 +40,7 @@
 class RefusalRecord:
     """Keeps a limited number of refusals, as an overload causes very many."""
 
-    def __init__(self, kept=REFUSALS_KEPT):
+    def __init__(self, kept=MAX_REFUSALS):
         self._lock = threading.Lock()
         self._refusals = collections.deque(maxlen=kept)
 
--- a/tamarackhaven/_retry_after.py
+++ b/tamarackhaven/_retry_after.py
@@ -14,7 +14,7 @@
 MAX_RETRY_AFTER_S = 1.0
 # Fraction of the time by which Retry-After is spread, as callers that were refused at
 # the same moment would otherwise retry at the same moment.
-SPREAD_FRACTION = 0.5
+JITTER_FRACTION = 0.5
 
 
 class EmptyingRate:
@@ -114,5 +114,5 @@
         if queue_ends_s < deadline_s:
             self._queue_ends_s = queue_ends_s
         wait_s = min(queue_ends_s - now, MAX_RETRY_AFTER_S)
-        spread_factor = 1.0 - SPREAD_FRACTION / 2 + SPREAD_FRACTION * random_part
+        spread_factor = 1.0 - JITTER_FRACTION / 2 + JITTER_FRACTION * random_part
         return max(MIN_RETRY_AFTER_S * (0.5 + random_part), wait_s * spread_factor)
--- a/tamarackhaven/_view.py
+++ b/tamarackhaven/_view.py
@@ -22,7 +22,7 @@
 from tamarackhaven._seams import Located
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-FIRST_STATE_RETRY_S = 0.5
+NO_STATE_RETRY_S = 0.5
 
 
 class _Shards:
@@ -211,7 +211,7 @@
                 raise TamarackhavenError(
                     ErrorKind.STATE_STALE,
                     "No state has been received yet.",
-                    FIRST_STATE_RETRY_S,
+                    NO_STATE_RETRY_S,
                 )
             if resource is None or shards is None:
                 raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, service)
--- a/tamarackhaven/sidecar/_peers.py
+++ b/tamarackhaven/sidecar/_peers.py
@@ -29,7 +29,7 @@
     WaitQuery,
     WaitReply,
 )
-from tamarackhaven.sidecar._runs import REATTACH_S
+from tamarackhaven.sidecar._runs import RECONNECT_TIMEOUT_S
 
 # While requests wait, a link that has been silent for the probe interval is probed, and
 # one that has been silent for the timeout is closed: a link between zones answers
@@ -448,7 +448,7 @@
             return
         del self._link_by_boot[boot]
         loop = asyncio.get_running_loop()
-        loop.call_later(REATTACH_S, self._cancel_abandoned, boot)
+        loop.call_later(RECONNECT_TIMEOUT_S, self._cancel_abandoned, boot)
 
     def _cancel_abandoned(self, boot):
         if boot in self._link_by_boot:
--- a/tamarackhaven/sidecar/_runs.py
+++ b/tamarackhaven/sidecar/_runs.py
@@ -19,7 +19,7 @@
 # How often finished requests are looked through.
 CLEANUP_INTERVAL_S = 0.5
 # A link that breaks is reconnected within this time if its daemon still runs.
-REATTACH_S = 0.4
+RECONNECT_TIMEOUT_S = 0.4
 
 
 class Runs:
