--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -25,7 +25,7 @@
 from tamarackhaven._seen_load import SeenLoad
 from tamarackhaven._send import Connections
 from tamarackhaven._shared_route import SharedRoute
-from tamarackhaven._silence import Silence
+from tamarackhaven._silence import HangDetector
 from tamarackhaven._target_link import TargetLink
 from tamarackhaven._verify import Standing
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
@@ -87,7 +87,7 @@
         self.ledger = Ledger(settings.bookings)
         self.ledger_lock = threading.Lock()
         self.link = TargetLink(clock)
-        self.silence = Silence(settings.target_silent_s, threading.Lock())
+        self.hang_detector = HangDetector(settings.target_silent_s, threading.Lock())
         self._lease = lease
         self._metrics = metrics
         self._log = log.part("daemon")
@@ -114,7 +114,7 @@
             self._canceller,
             clock,
             self.seen_load.note,
-            self.silence,
+            self.hang_detector,
         )
         self.path = self._make_path(view, owner, log.part("path"))
         self._servers = []
@@ -288,10 +288,10 @@
         with self._announce_lock:
             is_new_start = self.link.is_new(announcement)
             if is_new_start:
-                self.silence.started(self._clock.boot_s())
+                self.hang_detector.started(self._clock.boot_s())
                 self._replace_target(announcement)
             else:
-                self.silence.message_received(self._clock.boot_s())
+                self.hang_detector.message_received(self._clock.boot_s())
             # Last, so that a reader of the new link state finds the new gate in place.
             self.link.announce(announcement)
         if not is_new_start:
@@ -302,7 +302,7 @@
     def reported(self, report):
         """Apply a load report of the target."""
         self.link.report(report)
-        self.silence.reported(self._clock.boot_s())
+        self.hang_detector.reported(self._clock.boot_s())
         target = self._target
         if target is not None:
             target.admission.report(report)
@@ -312,14 +312,14 @@
     def left(self):
         """Refuse queued and new requests: the target has begun to leave."""
         self.link.leave()
-        self.silence.message_received(self._clock.boot_s())
+        self.hang_detector.message_received(self._clock.boot_s())
         target = self._target
         if target is not None:
             target.admission.stop(ErrorKind.DRAINING)
         self._log.say("target is leaving")
         self._on_target(self.link.state())
 
-    def give_up_target(self):
+    def suspend_target(self):
         """Refuse requests queued for a hung target; ``Owner`` ends those in flight."""
         target = self._target
         if target is not None:
@@ -327,7 +327,7 @@
             # The queued requests did not run, so the next owner may run them.
             target.admission.stop(ErrorKind.MOVING)
 
-    def take_target_back(self):
+    def resume_target(self):
         """Admit requests again to a target that was hung and now responds."""
         hung_target, self._hung_target = self._hung_target, None
         is_leaving = self._is_draining or self.link.state().leaving
--- a/tamarackhaven/_daemon_process.py
+++ b/tamarackhaven/_daemon_process.py
@@ -304,9 +304,9 @@
         )
 
     def _join(self):
-        if self.daemon.silence.hung or not self._probe.is_up():
+        if self.daemon.hang_detector.is_hung or not self._probe.is_up():
             raise TamarackhavenError(ErrorKind.TARGET_UNREACHABLE, "before joining")
-        self.daemon.take_target_back()
+        self.daemon.resume_target()
         settings = self._settings
         # Each join is an entry of the log. A daemon that is refused repeatedly would
         # fill it and displace older decisions from the record.
@@ -335,7 +335,7 @@
         self._log.say("joined", epoch=outcome.member.epoch)
 
     def _target_is_hung(self):
-        return self.daemon.silence.check(_clock.boot_s())
+        return self.daemon.hang_detector.check(_clock.boot_s())
 
     def _release_target(self):
         """Release the shards of a target that is down or hung, and retire it.
@@ -347,10 +347,10 @@
         when it resumes: it refuses to start them after Start-By, but nothing bounds
         the end of those it had started.
         """
-        is_hung = self.daemon.silence.hung
+        is_hung = self.daemon.hang_detector.is_hung
         reason = "its daemon found it hung" if is_hung else "its daemon found it down"
         if is_hung:
-            self.daemon.give_up_target()
+            self.daemon.suspend_target()
         settings = self._settings
         epoch = self._lease.epoch()
         self._releasing.set()
--- a/tamarackhaven/_owner.py
+++ b/tamarackhaven/_owner.py
@@ -57,7 +57,7 @@
         Times requests and bookings.
     record_key : callable
         Called with the key hash of each request for a key of this target.
-    silence : Silence
+    hang_detector : HangDetector
         Detects whether the target is hung.
     """
 
@@ -73,7 +73,7 @@
         canceller,
         clock,
         record_key,
-        silence,
+        hang_detector,
     ):
         self._settings = settings
         self._standing = standing
@@ -85,7 +85,7 @@
         self._canceller = canceller
         self._clock = clock
         self._record_key = record_key
-        self._silence = silence
+        self._hang_detector = hang_detector
 
     def serve(self, request, located, gone):
         """Return the whole answer of this daemon's target.
@@ -186,8 +186,8 @@
         released, so callers needn't wait until their deadlines: the next owner may
         answer a lookup.
         """
-        watch = _HangWatch(self._silence, gone)
-        self._silence.began(self._clock.boot_s())
+        watch = _HangWatch(self._hang_detector, gone)
+        self._hang_detector.began(self._clock.boot_s())
         answered = False
         try:
             answer = send(connections, outgoing, watch)
@@ -199,7 +199,7 @@
             detail = "The target is hung."
             raise TamarackhavenError(ErrorKind.CANCELLED, detail) from error
         finally:
-            self._silence.ended(answered, self._clock.boot_s())
+            self._hang_detector.ended(answered, self._clock.boot_s())
 
     def _fence_headers(self, request, located):
         """Return the headers that let a target refuse a request that arrives too late.
@@ -232,14 +232,14 @@
 class _HangWatch:
     """Stops a try when the target is hung or the caller gone; records which."""
 
-    def __init__(self, silence, gone):
-        self._silence = silence
+    def __init__(self, hang_detector, gone):
+        self._hang_detector = hang_detector
         self._gone = gone
         self.is_hung = False
 
     def __call__(self):
         """Return whether the target is hung or the caller gone."""
-        self.is_hung = self._silence.hung
+        self.is_hung = self._hang_detector.is_hung
         return self.is_hung or self._gone()
 
 
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -8,7 +8,7 @@
 """
 
 
-class Silence:
+class HangDetector:
     """Tracks when one target last reported or answered.
 
     Parameters
@@ -28,7 +28,7 @@
         self._is_hung = False
 
     @property
-    def hung(self):
+    def is_hung(self):
         """Whether the target was found hung and has sent nothing since."""
         return self._is_hung
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,7 +8,7 @@
 from standin.target import StandinSettings
 from tamarackhaven import _clock
 from tamarackhaven._keys import hash_key, shard_of
-from tamarackhaven._silence import Silence
+from tamarackhaven._silence import HangDetector
 from tests.fakes import FakeView, Node, booking, running, wait_for
 
 SHARD = shard_of(hash_key("s", "k"), 4)
@@ -38,19 +38,19 @@
 @pytest.mark.parametrize("name", SESSIONS)
 def test_target_is_hung_only_if_it_sends_nothing(name):
     steps, check_s, expected = SESSIONS[name]
-    silence = Silence(3.0, contextlib.nullcontext())
+    hang_detector = HangDetector(3.0, contextlib.nullcontext())
     action_by_step = {
-        "begin": silence.began,
-        "answer": lambda now: silence.ended(True, now),
-        "error": lambda now: silence.ended(False, now),
-        "report": silence.reported,
-        "start": silence.started,
-        "check": silence.check,
+        "begin": hang_detector.began,
+        "answer": lambda now: hang_detector.ended(True, now),
+        "error": lambda now: hang_detector.ended(False, now),
+        "report": hang_detector.reported,
+        "start": hang_detector.started,
+        "check": hang_detector.check,
     }
     for step in steps.split(", "):
         label, now = step.split()
         action_by_step[label](float(now))
-    assert silence.check(check_s) is expected
+    assert hang_detector.check(check_s) is expected
 
 
 def test_callers_of_a_hung_target_get_an_answer_before_their_deadlines():
@@ -65,7 +65,7 @@
     long = {"Tamarackhaven_Deadline_Ms": "20000"}
     with running(first, second):
         first.own(SHARD)
-        got, silence = {}, first.daemon.silence
+        got, hang_detector = {}, first.daemon.hang_detector
         request_by_name = {
             "lookup": lambda: first.ask(**long),
             "booking": lambda: first.ask("POST", **booking("b", **long)),
@@ -81,7 +81,7 @@
         wait_for(lambda: first.daemon.link.state().report)
         first.standin.announcer.stop()
         started = _clock.boot_s()
-        assert silence.check(started + 4000)
+        assert hang_detector.check(started + 4000)
         second.own(SHARD, grant=11)
         for thread in threads:
             thread.join()
@@ -95,13 +95,13 @@
     node = Node(FakeView())
     with running(node):
         node.own(*range(4))
-        node.daemon.give_up_target()
+        node.daemon.suspend_target()
         assert node.ask().name == "MOVING"
-        node.daemon.take_target_back()
+        node.daemon.resume_target()
         assert node.ask().status == 200
-        node.daemon.give_up_target()
+        node.daemon.suspend_target()
         node.standin.target.incarnation = "another"
         wait_for(lambda: node.ask().status == 200)
         gate = node.daemon._target.admission
-        node.daemon.take_target_back()
+        node.daemon.resume_target()
         assert gate is node.daemon._target.admission
