--- a/tamarackhaven/_gate.py
+++ b/tamarackhaven/_gate.py
@@ -14,7 +14,7 @@
 from tamarackhaven._fair_queue import FairQueue
 from tamarackhaven._gate_messages import Admit, End, Refuse, Wait
 from tamarackhaven._limit import MAX_REPORT_AGE_S, LatencyShift, LearnedLimit
-from tamarackhaven._retry_after import ComeBackTimes, EmptyingRate
+from tamarackhaven._retry_after import DequeueRate, RetryDelays
 from tamarackhaven.errors import ErrorKind
 
 # The target may still run a request that its caller has abandoned. Its slot stays
@@ -61,8 +61,8 @@
         self._cold = ColdStart(settings, slots)
         self._restart_detector = RestartDetector()
         self._queue = FairQueue(settings)
-        self._dequeue_rate = EmptyingRate()
-        self._retry_delays = ComeBackTimes()
+        self._dequeue_rate = DequeueRate()
+        self._retry_delays = RetryDelays()
         self._offer_by_id = {}
         self._abandoned = []
         self._stopped = None
@@ -345,6 +345,6 @@
             entry.start_by_s - position * interval_s
             for position, entry in enumerate(self._queue.entries)
         )
-        due_at = self._dequeue_rate.known_at(due_at)
+        due_at = self._dequeue_rate.stall_detectable_at(due_at)
         freed_at = min((a.until_s for a in self._abandoned), default=math.inf)
         return max(now, min(due_at, freed_at))
--- a/tamarackhaven/_retry_after.py
+++ b/tamarackhaven/_retry_after.py
@@ -17,7 +17,7 @@
 JITTER_FRACTION = 0.5
 
 
-class EmptyingRate:
+class DequeueRate:
     """The rate at which a gate's queue empties, from the durations of its requests.
 
     It is computed from the holding time divided by the limit, not from completions a
@@ -60,7 +60,7 @@
     def _stall_starts_s(self):
         return self._last_progress_s + STALL_HOLD_FACTOR * self._hold_s
 
-    def known_at(self, start_by_s):
+    def stall_detectable_at(self, start_by_s):
         """Return when silence shows that a request won't start by ``start_by_s``.
 
         It is used to refuse requests queued for a stalled target early, instead of
@@ -78,7 +78,7 @@
         return (place + 1) * self.interval_s(limit) + self.stalled_s(limit, now)
 
 
-class ComeBackTimes:
+class RetryDelays:
     """Assigns the times after which refused callers should retry.
 
     When demand exceeds capacity for seconds, refused callers that all retry at the same
