--- a/tamarackhaven/_process.py
+++ b/tamarackhaven/_process.py
@@ -46,7 +46,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
 
 
-async def keep_flushing(lines):
+async def flush_periodically(lines):
     """Flush buffered log lines periodically."""
     while True:
         await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
@@ -74,7 +74,7 @@
         owner.reload(settings)
 
 
-async def keep_rereading(path, owner, log):
+async def reload_periodically(path, owner, log):
     """Call ``reload_settings`` periodically."""
     while True:
         await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
--- a/tamarackhaven/_seams.py
+++ b/tamarackhaven/_seams.py
@@ -45,7 +45,7 @@
             UNKNOWN_SERVICE if there is no such service.
         """
 
-    def takers(self, service: str) -> list[TargetMember]:
+    def accepting_targets(self, service: str) -> list[TargetMember]:
         """Return the targets of a service that accept new requests."""
 
     def member(self, service: str, target: str) -> TargetMember | None:
--- a/tamarackhaven/_shared_route.py
+++ b/tamarackhaven/_shared_route.py
@@ -86,7 +86,7 @@
 
     def _choose(self, located, tried):
         service = located.service
-        members = self._view.takers(service.name)
+        members = self._view.accepting_targets(service.name)
         with self._lock:
             pool = self._pool(service.name)
             now = self._clock.boot_s()
@@ -98,7 +98,7 @@
         return self._pool_by_service[service]
 
     def _no_target_error(self, service):
-        if self._view.takers(service):
+        if self._view.accepting_targets(service):
             return TamarackhavenError(
                 ErrorKind.CONNECTIONS_FULL, "All targets are at their connection limit."
             )
@@ -110,7 +110,7 @@
         with self._lock:
             pool = self._pool(request.service)
             delay_s = pool.hedge_delay_s(not request.is_booking)
-        is_only_target = len(self._view.takers(request.service)) < 2
+        is_only_target = len(self._view.accepting_targets(request.service)) < 2
         race = _HedgeRace(gone)
         if delay_s is None or is_only_target:
             answer = self._try(request, located, first, race)
--- a/tamarackhaven/_view.py
+++ b/tamarackhaven/_view.py
@@ -226,7 +226,7 @@
         policy = self._resources_by_key.get(("OwnershipPolicy", service.policy))
         return policy.mode if policy else PolicyMode.EXCLUSIVE
 
-    def takers(self, service):
+    def accepting_targets(self, service):
         """Return the targets of a service that accept requests, by this view.
 
         They are active and their availability zones are in. The list is cached per
--- a/tamarackhaven/fleet/_control.py
+++ b/tamarackhaven/fleet/_control.py
@@ -50,7 +50,7 @@
 MIN_DECISION_INTERVAL_S = 0.02
 
 
-class NotLeading(Exception):
+class NotLeaderError(Exception):
     """Raised when this control VM doesn't lead.
 
     Parameters
@@ -433,7 +433,7 @@
 
         Raises
         ------
-        NotLeading
+        NotLeaderError
             Another control VM leads, or none does.
         TamarackhavenError
             NO_QUORUM if the command was not accepted; CHANGE_UNCONFIRMED if it may
@@ -455,7 +455,7 @@
         status = self.consensus.status()
         leader = status.membership.by_name.get(status.leader)
         is_other = leader is not None and status.leader != status.name
-        raise NotLeading(leader.host if is_other else None)
+        raise NotLeaderError(leader.host if is_other else None)
 
     def _require_voters(self):
         """Refuse orders that the tolerated losses of disks could undo.
@@ -488,7 +488,7 @@
 
         Raises
         ------
-        NotLeading
+        NotLeaderError
             Another control VM leads, or none does.
         TamarackhavenError
             NO_QUORUM if no quorum confirms that this member leads.
--- a/tamarackhaven/fleet/control_vm.py
+++ b/tamarackhaven/fleet/control_vm.py
@@ -1,5 +1,5 @@
 """Public interface of a control VM's process."""
 
-from tamarackhaven.fleet._control import FleetControl, NotLeading
+from tamarackhaven.fleet._control import FleetControl, NotLeaderError
 
-__all__ = ["FleetControl", "NotLeading"]
+__all__ = ["FleetControl", "NotLeaderError"]
--- a/tamarackhaven/fleet/process.py
+++ b/tamarackhaven/fleet/process.py
@@ -5,10 +5,10 @@
 
 from tamarackhaven._metrics import Metrics
 from tamarackhaven._process import (
-    keep_flushing,
-    keep_rereading,
+    flush_periodically,
     on_signals,
     open_log,
+    reload_periodically,
     reload_settings,
     run_process,
     serve_metrics,
@@ -39,7 +39,7 @@
     settings = load_settings(path, FleetControlSettings)
     log, lines = open_log("control", settings.name)
     metrics = Metrics()
-    metrics.add_source(lambda: CONTROL_CODEC.tell(metrics))
+    metrics.add_source(lambda: CONTROL_CODEC.export_metrics(metrics))
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     fatal = []
@@ -59,8 +59,8 @@
     if settings.metrics:
         await serve_metrics(metrics, *split(settings.metrics))
     background = [
-        asyncio.create_task(keep_flushing(lines)),
-        asyncio.create_task(keep_rereading(path, control, log)),
+        asyncio.create_task(flush_periodically(lines)),
+        asyncio.create_task(reload_periodically(path, control, log)),
     ]
     await stopped.wait()
     server.close()
--- a/tamarackhaven/net/_wire.py
+++ b/tamarackhaven/net/_wire.py
@@ -66,7 +66,7 @@
         """Return the total bytes sent over links of this process."""
         return sum(self._sent_bytes_by_kind.values())
 
-    def tell(self, metrics):
+    def export_metrics(self, metrics):
         """Set the gauges of sent bytes by message class."""
         for kind, sent_bytes in self._sent_bytes_by_kind.items():
             metrics.gauge("tamarackhaven_link_sent_bytes", sent_bytes, kind=kind)
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -420,7 +420,7 @@
         if now >= pending.deadline_s:
             return NotRun(0, ErrorKind.QUEUE_TIMEOUT.name, OWNER_RETRY_S)
         forward = self._build_forward(pending, target, now, waits)
-        self._chooser.sent(target.life)
+        self._chooser.record_sent(target.life)
         result = None
         try:
             if target.life == self._state.life:
@@ -463,7 +463,9 @@
         """Record the result of an attempt, None if the caller disconnected."""
         now = boot_s()
         if result is None:
-            self._chooser.ended(target.life, pending.route.name, None, None, now)
+            self._chooser.record_result(
+                target.life, pending.route.name, None, None, now
+            )
             return
         is_unreachable = (
             result.kind in _UNREACHABLE_KINDS if isinstance(result, NotRun) else False
@@ -477,11 +479,11 @@
         # A result that this daemon created itself, for example after a broken link,
         # doesn't include the target's load.
         load = result.load if result.load != GateLoad() else None
-        self._chooser.ended(
+        self._chooser.record_result(
             target.life, pending.route.name, load, has_failed(result), now
         )
         if is_unreachable:
-            self._chooser.unreachable(target.life, now)
+            self._chooser.record_unreachable(target.life, now)
         after_s = now - pending.arrived_s
         waited_s = getattr(result, "waited_ms", 0.0) / 1000
         worked_s = getattr(result, "worked_ms", 0.0) / 1000
--- a/tamarackhaven/sidecar/_choice.py
+++ b/tamarackhaven/sidecar/_choice.py
@@ -197,13 +197,13 @@
         # Daemons with the same load reports would all choose the same target.
         return cost_ms * (1 + 0.2 * self._random())
 
-    def sent(self, life):
+    def record_sent(self, life):
         """Count a request that was sent to a target."""
         stats = self._stats(life)
         stats.in_flight += 1
         stats.sent_since_load += 1
 
-    def ended(self, life, route, load, failed, now):
+    def record_result(self, life, route, load, failed, now):
         """Record the end of a request.
 
         Parameters
@@ -234,7 +234,7 @@
                 float(failed) - stats.failure_fraction
             )
 
-    def unreachable(self, life, now):
+    def record_unreachable(self, life, now):
         """Pause a target that couldn't be reached."""
         stats = self._stats(life)
         stats.pause_s = min(max(2 * stats.pause_s, MIN_PAUSE_S), MAX_PAUSE_S)
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -255,7 +255,7 @@
             server.limits = configuration.limits
         service = self.view.table.service_by_name.get(self.settings.service)
         if service is not None:
-            self.state.tell_keys_by(service.hold_orders)
+            self.state.set_hold_orders(service.hold_orders)
         self.log.say(
             "configuration taken",
             version=configuration.version,
@@ -266,7 +266,7 @@
         self.view.confirm(requested_s)
         self.state.apply_grant(grant, requested_s)
         self.inbound.wake_key_waiters()
-        self._key_calls.kick()
+        self._key_calls.start_due_calls()
 
     # Target.
 
@@ -290,7 +290,7 @@
             self._control.report_now()
         return reply
 
-    def goodbye(self, name):
+    def mark_target_leaving(self, name):
         """Mark the target as draining, since it announced that it leaves."""
         self.state.leave(name, boot_s())
         self.log.say("target leaves", name=name)
--- a/tamarackhaven/sidecar/_dialect.py
+++ b/tamarackhaven/sidecar/_dialect.py
@@ -81,7 +81,7 @@
         """Return whether a reply belongs to the attempt, as far as it says."""
 
     @abc.abstractmethod
-    def judge(self, reply, attempt_id):
+    def classify_reply(self, reply, attempt_id):
         """Return the ``Verdict`` for a ``Reply`` to the attempt."""
 
     @abc.abstractmethod
--- a/tamarackhaven/sidecar/_gate.py
+++ b/tamarackhaven/sidecar/_gate.py
@@ -188,7 +188,7 @@
             return 0.0
         return self._estimated_wait_s(offer, now)
 
-    def foresee(self, offer, transfer_s, has_other_bodies, now):
+    def refuse_early(self, offer, transfer_s, has_other_bodies, now):
         """Return a ``Refuse`` if a request's body shouldn't be transferred, else None.
 
         Parameters
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -212,7 +212,7 @@
         self._update_cold()
         transfer_s = self.intake.expected_s(incoming.size, offer)
         has_other_arrivals = self.intake.remaining_bytes > 0
-        gate_refusal = self._gate.foresee(
+        gate_refusal = self._gate.refuse_early(
             offer, transfer_s, has_other_arrivals, boot_s()
         )
         if gate_refusal is not None:
@@ -359,7 +359,7 @@
         return self._result_from_reply(forward, sent.reply, started_s)
 
     def _result_from_reply(self, forward, reply, started_s):
-        verdict = self._dialect.judge(reply, forward.attempt_id)
+        verdict = self._dialect.classify_reply(reply, forward.attempt_id)
         if verdict is Verdict.ANSWERED:
             self._metrics.observe(
                 boot_s() - started_s, service=forward.service, part="target"
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -55,7 +55,7 @@
         """Make due calls until cancelled."""
         try:
             while True:
-                self.kick()
+                self.start_due_calls()
                 await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             for task in self._tasks:
@@ -71,7 +71,7 @@
         if isinstance(self._state.keys, CalledHolds):
             self._start(self._grants_client.keep(MAX_OPEN_GRANTS))
 
-    def kick(self):
+    def start_due_calls(self):
         """Make the calls that are due now."""
         keys = self._state.keys
         if not isinstance(keys, CalledHolds):
@@ -113,7 +113,7 @@
                 self._on_released()
             else:
                 self._on_held()
-            self.kick()
+            self.start_due_calls()
 
     async def _call(self, order):
         """Make one call; return its ``OrderEnd``, the handover and a detail."""
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -111,7 +111,7 @@
         kind = _HOLDS_BY_ORDERS[self._hold_orders]
         return kind(self._settings.lease, self.life)
 
-    def tell_keys_by(self, orders):
+    def set_hold_orders(self, orders):
         """Set how the target is told its keys from now on, a ``HoldOrders``."""
         if orders is not self._hold_orders:
             self._hold_orders = orders
--- a/tamarackhaven/sidecar/process.py
+++ b/tamarackhaven/sidecar/process.py
@@ -5,10 +5,10 @@
 
 from tamarackhaven._metrics import Metrics
 from tamarackhaven._process import (
-    keep_flushing,
-    keep_rereading,
+    flush_periodically,
     on_signals,
     open_log,
+    reload_periodically,
     reload_settings,
     run_process,
     serve_metrics,
@@ -40,7 +40,7 @@
     log, log_lines = open_log("daemon", settings.name)
     metrics = Metrics()
     for codec in (CONTROL_CODEC, PEER_CODEC):
-        metrics.add_source(functools.partial(codec.tell, metrics))
+        metrics.add_source(functools.partial(codec.export_metrics, metrics))
     daemon = Daemon(settings, dialect, registry, log, metrics)
     stopped = asyncio.Event()
     on_signals(stopped.set, lambda: reload_settings(path, daemon, log))
@@ -48,8 +48,8 @@
     if settings.metrics:
         await serve_metrics(metrics, *split(settings.metrics))
     background = [
-        asyncio.create_task(keep_flushing(log_lines)),
-        asyncio.create_task(keep_rereading(path, daemon, log)),
+        asyncio.create_task(flush_periodically(log_lines)),
+        asyncio.create_task(reload_periodically(path, daemon, log)),
     ]
     await stopped.wait()
     await daemon.stop()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -53,7 +53,7 @@
         owner = self.member_by_name.get(grant.owner)
         return Located(grant, owner, self.service, self.mode)
 
-    def takers(self, service):
+    def accepting_targets(self, service):
         return list(self.member_by_name.values())
 
     def member(self, service, target):
--- a/tests/net/test_wire.py
+++ b/tests/net/test_wire.py
@@ -130,7 +130,7 @@
     hello = MemberHello("a", "h", 1)
     codec.count_sent(hello, 10)
     codec.count_sent(codec.packed(hello), 5)
-    codec.tell(metrics)
+    codec.export_metrics(metrics)
     assert 'tamarackhaven_link_sent_bytes{kind="MemberHello"} 15' in metrics.page()
 
 
--- a/tests/platform_adapter/test_wire_headers.py
+++ b/tests/platform_adapter/test_wire_headers.py
@@ -68,7 +68,7 @@
     ],
 )
 def test_reply_is_classified_by_status_and_headers(status, headers, verdict):
-    assert DIALECT.judge(Reply(status, tuple(headers), b""), "abc") is verdict
+    assert DIALECT.classify_reply(Reply(status, tuple(headers), b""), "abc") is verdict
 
 
 def test_refusal_has_its_code_and_a_retry_after_header():
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -118,7 +118,7 @@
         """Replace the daemon by a new process that has no state."""
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
-        self.state.tell_keys_by(HoldOrders.CALLS)
+        self.state.set_hold_orders(HoldOrders.CALLS)
         self.next_report_s = self.next_beat_s = self.world.now
 
     def restart_target(self):
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -45,7 +45,7 @@
     def restart_daemon(self):
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
-        self.state.tell_keys_by(HoldOrders.HEARTBEATS)
+        self.state.set_hold_orders(HoldOrders.HEARTBEATS)
         self.next_report_s = self.next_beat_s = self.world.now
         self.stalled_until_s = self.world.now
 
--- a/tests/sidecar/test_choice.py
+++ b/tests/sidecar/test_choice.py
@@ -22,8 +22,8 @@
 
 def report_load(chooser, chosen, route="r", now=0.0, failed=False, **load):
     load = {"running": 0, "waiting": 0, "slots": 10, "work_ms": 100.0, **load}
-    chooser.sent(chosen.life)
-    chooser.ended(chosen.life, route, GateLoad(**load), failed, now)
+    chooser.record_sent(chosen.life)
+    chooser.record_result(chosen.life, route, GateLoad(**load), failed, now)
 
 
 def test_the_faster_target_is_chosen(chooser):
@@ -54,7 +54,7 @@
     report_load(chooser, A)
     report_load(chooser, B)
     for _ in range(10):
-        chooser.sent(A.life)
+        chooser.record_sent(A.life)
     assert chooser.pick([A, B], "r", 0.1) is B
 
 
@@ -91,14 +91,14 @@
 def test_an_unreachable_target_is_paused(chooser):
     report_load(chooser, A, work_ms=10.0)
     report_load(chooser, B)
-    chooser.unreachable(A.life, 0.1)
+    chooser.record_unreachable(A.life, 0.1)
     assert chooser.pick([A, B], "r", 0.2) is B
     assert chooser.pick([A, B], "r", 0.2 + MIN_PAUSE_S) is A
 
 
 def test_with_all_targets_paused_the_earliest_to_resume_is_chosen(chooser):
-    chooser.unreachable(A.life, 0.0)
-    chooser.unreachable(B.life, 0.1)
+    chooser.record_unreachable(A.life, 0.0)
+    chooser.record_unreachable(B.life, 0.1)
     assert chooser.pick([A, B], "r", 0.2) is A
 
 
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -54,7 +54,7 @@
     def target_headers(self, forward, name, left_ms):
         return ()
 
-    def judge(self, reply, attempt_id):
+    def classify_reply(self, reply, attempt_id):
         return Verdict.ANSWERED
 
 
--- a/tests/sidecar/test_offers.py
+++ b/tests/sidecar/test_offers.py
@@ -132,7 +132,7 @@
             at, number, life, route, chooser = heapq.heappop(self.events)
             gate = self.gates[life]
             load = GateLoad(gate.running, gate.waiting, gate.slots, 100.0)
-            chooser.ended(life, route, load, False, at)
+            chooser.record_result(life, route, load, False, at)
             for decision in gate.finish(number, True, at):
                 self.apply_decision(decision, life, at)
 
@@ -162,7 +162,7 @@
             waits = step.waits or not self.queries_waits
             life = step.target.life
             gate = self.gates[life]
-            chooser.sent(life)
+            chooser.record_sent(life)
             self.request_by_number[self.number] = now, route, chooser
             offer = Offer(self.number, route, 1, objective_s, deadline_s, waits)
             decision = gate.offer(offer, now)
@@ -172,7 +172,7 @@
                 self.apply_decision(decision, life, now)
                 return
             load = GateLoad(gate.running, gate.waiting, gate.slots, 100.0)
-            chooser.ended(life, route, load, None, now)
+            chooser.record_result(life, route, load, None, now)
             offers.busy(step.target, decision.retry_after_s)
 
 
