--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -8,7 +8,7 @@
 import attrs
 
 from tamarackhaven.fleet import _placement
-from tamarackhaven.fleet._leases import LeaseBook
+from tamarackhaven.fleet._leases import LeaseTable
 from tamarackhaven.fleet._messages import LeaseGrant, TargetsView
 from tamarackhaven.fleet._model import (
     GrantId,
@@ -109,7 +109,7 @@
         self.term = term
         self._confirmed_s = now
         self._last_grant_number = 0
-        self.leases = LeaseBook(lease_s, now)
+        self.leases = LeaseTable(lease_s, now)
         self._reported_by_life = {}
         self._life_by_address = {}
         self._start_ms_by_daemon = {}
@@ -154,7 +154,7 @@
         self._reported_by_life[target.life] = _ReportedTarget(target, report, now)
 
     def _end_life(self, life):
-        self.leases.ended(life)
+        self.leases.record_end(life)
         self._remove(life)
 
     def _remove(self, life):
@@ -182,7 +182,7 @@
         owned = tuple(each for each in ranges if each.owner == target.life)
         owned = self._without_moving(owned, target.life)
         owned = self._open_changes.without(owned, target.service, ranges)
-        self.leases.granted(target.life, now)
+        self.leases.record_grant(target.life, now)
         return LeaseGrant(
             report.number,
             grant,
@@ -412,7 +412,7 @@
             )
         first_grant = GrantId(self.term, self._last_grant_number + 1)
         for move in moves:
-            expires_s = self.leases.until_s(move.old.owner)
+            expires_s = self.leases.expiry_s(move.old.owner)
             self._pending_moves.append(
                 _PendingMove(service, move, first_grant, expires_s)
             )
--- a/tamarackhaven/fleet/_leases.py
+++ b/tamarackhaven/fleet/_leases.py
@@ -5,7 +5,7 @@
 CLOCK_MARGIN_S = 0.15
 
 
-class LeaseBook:
+class LeaseTable:
     """The leases that one leader granted, and those it must assume for earlier leaders.
 
     A daemon counts its lease from when it sent the report. The leader counts from when
@@ -25,15 +25,15 @@
         # A new leader doesn't know what the former one granted, and might reassign keys
         # that another target still holds. Every grant of the former leader was
         # confirmed before this one was elected, so it has expired one lease later.
-        self._inherited_until_s = elected_s + lease_s + CLOCK_MARGIN_S
+        self._former_leader_expiry_s = elected_s + lease_s + CLOCK_MARGIN_S
         self._expiry_s_by_life = {}
         self._ended_lives = set()
 
-    def granted(self, life, now):
+    def record_grant(self, life, now):
         """Record that a grant for ``life`` is sent at ``now``."""
         self._expiry_s_by_life[life] = now + self.lease_s + CLOCK_MARGIN_S
 
-    def ended(self, life):
+    def record_end(self, life):
         """Record that a life has certainly ended, so it no longer holds any keys."""
         self._ended_lives.add(life)
 
@@ -41,15 +41,15 @@
         """Whether the end of a life was recorded."""
         return life in self._ended_lives
 
-    def until_s(self, life):
+    def expiry_s(self, life):
         """Return when every grant of ``life`` has expired, in boot clock seconds.
 
         Minus infinity if the life has ended.
         """
         if life in self._ended_lives:
             return float("-inf")
-        return self._expiry_s_by_life.get(life, self._inherited_until_s)
+        return self._expiry_s_by_life.get(life, self._former_leader_expiry_s)
 
     def has_expired(self, life, now):
         """Whether every grant of ``life`` has expired at ``now``."""
-        return now >= self.until_s(life)
+        return now >= self.expiry_s(life)
--- a/tests/sidecar/test_slow_log.py
+++ b/tests/sidecar/test_slow_log.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tamarackhaven.fleet import _leases
-from tamarackhaven.fleet._leases import LeaseBook
+from tamarackhaven.fleet._leases import LeaseTable
 from tamarackhaven.fleet._open_changes import OpenChanges
 from tests.sidecar.held_by_calls import TwoHoldersError
 from tests.sidecar.held_by_heartbeats import SlowLogWorld
@@ -33,10 +33,10 @@
 def ignore_leases_of_former_leaders(monkeypatch):
     def begin(self, lease_s, elected_s):
         real_init(self, lease_s, elected_s)
-        self._inherited_until_s = elected_s
+        self._former_leader_expiry_s = elected_s
 
-    real_init = LeaseBook.__init__
-    monkeypatch.setattr(_leases.LeaseBook, "__init__", begin)
+    real_init = LeaseTable.__init__
+    monkeypatch.setattr(_leases.LeaseTable, "__init__", begin)
 
 
 @pytest.mark.parametrize(
