--- a/benches/_model_keys.py
+++ b/benches/_model_keys.py
@@ -123,7 +123,7 @@
         beat = Heartbeat(
             self.name, 1, SERVICE, "z", world.load.slots, TargetPhase.READY, 1
         )
-        self.keys.heard(beat, world.now)
+        self.keys.record_heartbeat(beat, world.now)
         world.later(
             world.random.uniform(0, REPORT_INTERVAL_S), self.report_periodically
         )
@@ -196,13 +196,13 @@
 
         def on_confirmed():
             grant = world.leader.grant(report, world.state, world.now)
-            world.later(DAEMON_DELAY_S, lambda: self.take_grant(grant, now))
+            world.later(DAEMON_DELAY_S, lambda: self.apply_grant(grant, now))
 
         world.later(DAEMON_DELAY_S, on_arrival)
 
-    def take_grant(self, grant, asked_s):
-        """Apply a lease that was asked for at ``asked_s``, and make the calls due."""
-        self.keys.take_grant(grant, asked_s)
+    def apply_grant(self, grant, requested_s):
+        """Apply a lease requested at ``requested_s``, and make the calls due."""
+        self.keys.apply_grant(grant, requested_s)
         self.make_calls()
 
     def make_calls(self):
--- a/standin/simulated_link.py
+++ b/standin/simulated_link.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from tamarackhaven.sidecar._arrivals import Arrivals
+from tamarackhaven.sidecar._arrivals import BodyTransfers
 
 
 @attrs.frozen
@@ -33,13 +33,13 @@
         Bandwidth of the link.
     way_s : float
         Time from the request for a part to its first byte, on an idle link.
-    arrivals : Arrivals
+    arrivals : BodyTransfers
         Object under test.
     """
 
     bytes_per_s: float
     way_s: float = 0.002
-    arrivals: Arrivals = attrs.field(factory=lambda: Arrivals(Patience()))
+    arrivals: BodyTransfers = attrs.field(factory=lambda: BodyTransfers(Patience()))
     now: float = 0.0
     came_bytes: int = 0
     longest_queue_s: float = 0.0
@@ -54,7 +54,7 @@
         return max(self._idle_at_s - self.now - self.way_s, 0.0)
 
     def _request_parts(self):
-        for part in self.arrivals.asks(self.now):
+        for part in self.arrivals.next_parts(self.now):
             starts_s = max(self._idle_at_s, self.now + self.way_s)
             self.longest_queue_s = max(self.longest_queue_s, starts_s - self.now)
             self._idle_at_s = starts_s + part.count / self.bytes_per_s
@@ -71,11 +71,13 @@
 
     def _deliver(self, part):
         # Parts in flight still arrive after their body was dropped.
-        is_wanted = self.arrivals.left_of(part.key) > 0
-        is_used = self.arrivals.came(part.key, part.offset, part.count, self.now)
+        is_wanted = self.arrivals.remaining_bytes_of(part.key) > 0
+        is_used = self.arrivals.part_received(
+            part.key, part.offset, part.count, self.now
+        )
         assert is_used is is_wanted
         if is_used:
             self.came_bytes += part.count
-        if is_used and not self.arrivals.left_of(part.key):
+        if is_used and not self.arrivals.remaining_bytes_of(part.key):
             self.whole_s_by_key[part.key] = self.now
             self.arrivals.drop(part.key)
--- a/tamarackhaven/_retry_after.py
+++ b/tamarackhaven/_retry_after.py
@@ -14,10 +14,10 @@
 MAX_RETRY_AFTER_S = 1.0
 # Fraction of the time by which Retry-After is spread, as callers that were refused at
 # the same moment would otherwise retry at the same moment.
-SPREAD_FRACTION = 0.5
+JITTER_FRACTION = 0.5
 
 
-class EmptyingRate:
+class DequeueRate:
     """The rate at which a gate's queue empties, from the durations of its requests.
 
     It is computed from the holding time divided by the limit, not from completions a
@@ -60,7 +60,7 @@
     def _stall_starts_s(self):
         return self._last_progress_s + STALL_HOLD_FACTOR * self._hold_s
 
-    def known_at(self, start_by_s):
+    def stall_detectable_at(self, start_by_s):
         """Return when silence shows that a request won't start by ``start_by_s``.
 
         It is used to refuse requests queued for a stalled target early, instead of
@@ -78,7 +78,7 @@
         return (place + 1) * self.interval_s(limit) + self.stalled_s(limit, now)
 
 
-class ComeBackTimes:
+class RetryDelays:
     """Assigns the times after which refused callers should retry.
 
     When demand exceeds capacity for seconds, refused callers that all retry at the same
@@ -114,5 +114,5 @@
         if queue_ends_s < deadline_s:
             self._queue_ends_s = queue_ends_s
         wait_s = min(queue_ends_s - now, MAX_RETRY_AFTER_S)
-        spread_factor = 1.0 - SPREAD_FRACTION / 2 + SPREAD_FRACTION * random_part
+        spread_factor = 1.0 - JITTER_FRACTION / 2 + JITTER_FRACTION * random_part
         return max(MIN_RETRY_AFTER_S * (0.5 + random_part), wait_s * spread_factor)
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -8,7 +8,7 @@
 """
 
 
-class Silence:
+class HangDetector:
     """Tracks when one target last reported or answered.
 
     Parameters
@@ -28,7 +28,7 @@
         self._is_hung = False
 
     @property
-    def hung(self):
+    def is_hung(self):
         """Whether the target was found hung and has sent nothing since."""
         return self._is_hung
 
@@ -52,7 +52,7 @@
             self._has_reported = False
             self._record_message(now)
 
-    def heard(self, now):
+    def message_received(self, now):
         """Record a message of the target that isn't a report."""
         with self._lock:
             self._record_message(now)
--- a/tamarackhaven/_view.py
+++ b/tamarackhaven/_view.py
@@ -22,7 +22,7 @@
 from tamarackhaven._seams import Located
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
-FIRST_STATE_RETRY_S = 0.5
+NO_STATE_RETRY_S = 0.5
 
 
 class _Shards:
@@ -211,7 +211,7 @@
                 raise TamarackhavenError(
                     ErrorKind.STATE_STALE,
                     "No state has been received yet.",
-                    FIRST_STATE_RETRY_S,
+                    NO_STATE_RETRY_S,
                 )
             if resource is None or shards is None:
                 raise TamarackhavenError(ErrorKind.UNKNOWN_SERVICE, service)
@@ -226,7 +226,7 @@
         policy = self._resources_by_key.get(("OwnershipPolicy", service.policy))
         return policy.mode if policy else PolicyMode.EXCLUSIVE
 
-    def takers(self, service):
+    def accepting_targets(self, service):
         """Return the targets of a service that accept requests, by this view.
 
         They are active and their availability zones are in. The list is cached per
--- a/tamarackhaven/sidecar/_called_holds.py
+++ b/tamarackhaven/sidecar/_called_holds.py
@@ -144,16 +144,16 @@
 
     # Incoming: grants, heartbeats and results of calls.
 
-    def take_grant(self, grant, asked_s):
+    def apply_grant(self, grant, requested_s):
         """Apply a grant; its lease counts from when it was requested."""
         former = self._grant
-        super().take_grant(grant, asked_s)
+        super().apply_grant(grant, requested_s)
         if self._grant is not None and (
             former is None or former.ranges != self._grant.ranges
         ):
             self._split_spans(self._grant.ranges)
 
-    def heard(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Record a heartbeat of this life; the reply says nothing about keys."""
         if self._earlier_holds_until_s is None:
             # The first heartbeat of a life: no earlier process can have told it to hold
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -10,7 +10,7 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.net import HttpResponse
 from tamarackhaven.routing import RequestKind, Splitter
-from tamarackhaven.sidecar._budget import RepeatBudget
+from tamarackhaven.sidecar._budget import RetryBudget
 from tamarackhaven.sidecar._choice import Chooser, has_failed
 from tamarackhaven.sidecar._messages import (
     Answered,
@@ -247,7 +247,7 @@
         TamarackhavenError
             The kind of the last refusal or loss.
         """
-        self._service_budget(pending.spec.name).request(boot_s())
+        self._service_budget(pending.spec.name).count_request(boot_s())
         if pending.spec.sharded:
             return await self._serve_sharded(pending)
         return await self._serve_shared(pending)
@@ -255,7 +255,7 @@
     def _service_budget(self, service):
         budget = self._budget_by_service.get(service)
         if budget is None:
-            budget = RepeatBudget(self._settings.budget)
+            budget = RetryBudget(self._settings.budget)
             self._budget_by_service[service] = budget
         return budget
 
@@ -391,7 +391,7 @@
         min_left_s = MIN_RETRY_TIME_FRACTION * pending.route.objective_s
         if boot_s() + min_left_s >= pending.deadline_s:
             return False
-        is_allowed = self._service_budget(pending.spec.name).take(
+        is_allowed = self._service_budget(pending.spec.name).try_spend(
             self._view.daemon_count(), boot_s()
         )
         reason = getattr(result, "kind", "STATUS")
@@ -420,7 +420,7 @@
         if now >= pending.deadline_s:
             return NotRun(0, ErrorKind.QUEUE_TIMEOUT.name, OWNER_RETRY_S)
         forward = self._build_forward(pending, target, now, waits)
-        self._chooser.sent(target.life)
+        self._chooser.record_sent(target.life)
         result = None
         try:
             if target.life == self._state.life:
@@ -463,7 +463,9 @@
         """Record the result of an attempt, None if the caller disconnected."""
         now = boot_s()
         if result is None:
-            self._chooser.ended(target.life, pending.route.name, None, None, now)
+            self._chooser.record_result(
+                target.life, pending.route.name, None, None, now
+            )
             return
         is_unreachable = (
             result.kind in _UNREACHABLE_KINDS if isinstance(result, NotRun) else False
@@ -477,11 +479,11 @@
         # A result that this daemon created itself, for example after a broken link,
         # doesn't include the target's load.
         load = result.load if result.load != GateLoad() else None
-        self._chooser.ended(
+        self._chooser.record_result(
             target.life, pending.route.name, load, has_failed(result), now
         )
         if is_unreachable:
-            self._chooser.unreachable(target.life, now)
+            self._chooser.record_unreachable(target.life, now)
         after_s = now - pending.arrived_s
         waited_s = getattr(result, "waited_ms", 0.0) / 1000
         worked_s = getattr(result, "worked_ms", 0.0) / 1000
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -189,7 +189,7 @@
     def _update_link_gauges(self):
         """Set the gauges of bytes in flight, for the metrics page."""
         intake = self.inbound.intake
-        self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.left_bytes)
+        self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.remaining_bytes)
         self.metrics.gauge(
             "tamarackhaven_link_arriving_bytes", self._link_server.arriving_bytes
         )
@@ -229,7 +229,7 @@
     def _apply_view_message(self, message):
         table_before = self.view.table
         zones_out_before = self.view.zones_out
-        if not self.view.take(message):
+        if not self.view.apply_update(message):
             return
         if self.view.table is not table_before:
             self._on_configuration()
@@ -255,27 +255,27 @@
             server.limits = configuration.limits
         service = self.view.table.service_by_name.get(self.settings.service)
         if service is not None:
-            self.state.tell_keys_by(service.hold_orders)
+            self.state.set_hold_orders(service.hold_orders)
         self.log.say(
             "configuration taken",
             version=configuration.version,
             routes=len(configuration.routes),
         )
 
-    def _apply_grant(self, grant, asked_s):
-        self.view.confirm(asked_s)
-        self.state.take_grant(grant, asked_s)
+    def _apply_grant(self, grant, requested_s):
+        self.view.confirm(requested_s)
+        self.state.apply_grant(grant, requested_s)
         self.inbound.wake_key_waiters()
-        self._key_calls.kick()
+        self._key_calls.start_due_calls()
 
     # Target.
 
     def heartbeat(self, beat):
         """Apply a heartbeat of the target; return its ``HeartbeatReply``."""
         before = self.state.target(boot_s())
-        reply = self.state.take(beat, boot_s())
+        reply = self.state.apply_heartbeat(beat, boot_s())
         after = self.state.target(boot_s())
-        self._key_calls.heard()
+        self._key_calls.open_connections()
         self.inbound.wake_key_waiters()
         if before != after:
             self.log.say(
@@ -290,7 +290,7 @@
             self._control.report_now()
         return reply
 
-    def goodbye(self, name):
+    def mark_target_leaving(self, name):
         """Mark the target as draining, since it announced that it leaves."""
         self.state.leave(name, boot_s())
         self.log.say("target leaves", name=name)
--- a/tamarackhaven/sidecar/_key_calls.py
+++ b/tamarackhaven/sidecar/_key_calls.py
@@ -55,13 +55,13 @@
         """Make due calls until cancelled."""
         try:
             while True:
-                self.kick()
+                self.start_due_calls()
                 await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             for task in self._tasks:
                 task.cancel()
 
-    def heard(self):
+    def open_connections(self):
         """Open the connections for calls to the life that just sent a heartbeat.
 
         While all slots of a target and the connections to it are busy, a new owner
@@ -71,7 +71,7 @@
         if isinstance(self._state.keys, CalledHolds):
             self._start(self._grants_client.keep(MAX_OPEN_GRANTS))
 
-    def kick(self):
+    def start_due_calls(self):
         """Make the calls that are due now."""
         keys = self._state.keys
         if not isinstance(keys, CalledHolds):
@@ -113,7 +113,7 @@
                 self._on_released()
             else:
                 self._on_held()
-            self.kick()
+            self.start_due_calls()
 
     async def _call(self, order):
         """Make one call; return its ``OrderEnd``, the handover and a detail."""
@@ -127,7 +127,9 @@
             # harm.
             sending = self._client.send(*request, any_reply)
         else:
-            sending = self._grants_client.send_to_life(*request, self._state.heard_s)
+            sending = self._grants_client.send_to_life(
+                *request, self._state.heartbeat_received_s
+            )
         timeout_s = RELEASE_TIMEOUT_S if is_release else CALL_TIMEOUT_S
         try:
             # Cancelled by the timeout, the client closes its connection, so that bytes
--- a/tests/sidecar/held_by_calls.py
+++ b/tests/sidecar/held_by_calls.py
@@ -118,7 +118,7 @@
         """Replace the daemon by a new process that has no state."""
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
-        self.state.tell_keys_by(HoldOrders.CALLS)
+        self.state.set_hold_orders(HoldOrders.CALLS)
         self.next_report_s = self.next_beat_s = self.world.now
 
     def restart_target(self):
@@ -151,7 +151,7 @@
             TargetPhase.READY,
             self.target.sequence,
         )
-        self.state.take(beat, self.world.now)
+        self.state.apply_heartbeat(beat, self.world.now)
 
     def make_report(self):
         """Return a report in which random keys are busy at random rates."""
@@ -171,9 +171,9 @@
 
     def report(self):
         world, report = self.world, self.make_report()
-        asked_s, boot = world.now, self.boot
+        requested_s, boot = world.now, self.boot
         delay_s = world.random.uniform(0.01, 0.3)
-        world.later(delay_s, lambda: self.world.answer(self, report, asked_s, boot))
+        world.later(delay_s, lambda: self.world.answer(self, report, requested_s, boot))
 
     def send(self, keys, order):
         """Make a call; a fraction of them, ``World.faults``, fails in some way."""
@@ -250,7 +250,7 @@
         """Run ``action`` in ``delay_s`` seconds."""
         self._scheduled.append((self.now + delay_s, action))
 
-    def answer(self, vm, report, asked_s, boot):
+    def answer(self, vm, report, requested_s, boot):
         """Simulate the leader's handling of one report."""
         leader = self.leader
         leader.report(report, self.now)
@@ -258,7 +258,7 @@
 
         def arrive():
             if vm.boot == boot:
-                vm.state.take_grant(grant, asked_s)
+                vm.state.apply_grant(grant, requested_s)
 
         self.later(self.random.uniform(0.0, 0.2), arrive)
 
--- a/tests/sidecar/held_by_heartbeats.py
+++ b/tests/sidecar/held_by_heartbeats.py
@@ -45,7 +45,7 @@
     def restart_daemon(self):
         self.boot += 1
         self.state = TargetState(SETTINGS, self.host, 1)
-        self.state.tell_keys_by(HoldOrders.HEARTBEATS)
+        self.state.set_hold_orders(HoldOrders.HEARTBEATS)
         self.next_report_s = self.next_beat_s = self.world.now
         self.stalled_until_s = self.world.now
 
@@ -99,7 +99,7 @@
 
     def take(self, pending):
         """Simulate the daemon's handling of a heartbeat."""
-        reply = self.state.take(pending.heartbeat, self.world.now)
+        reply = self.state.apply_heartbeat(pending.heartbeat, self.world.now)
         if not self.world.is_message_lost():
             self.world.later(
                 self.world.delay_s(), lambda: self.handle_reply(pending, reply)
@@ -137,10 +137,10 @@
 
     def report(self):
         world, report = self.world, self.make_report()
-        asked_s, boot = world.now, self.boot
+        requested_s, boot = world.now, self.boot
         if not world.is_message_lost():
             delay_s = world.delay_s()
-            world.later(delay_s, lambda: world.answer(self, report, asked_s, boot))
+            world.later(delay_s, lambda: world.answer(self, report, requested_s, boot))
 
 
 class SlowLogWorld(World):
@@ -179,7 +179,7 @@
             return self.random.uniform(0.0, 0.03)
         return self.random.uniform(0.0, 1.5)
 
-    def answer(self, vm, report, asked_s, boot):
+    def answer(self, vm, report, requested_s, boot):
         """Simulate the leader's handling of a report, which a quorum confirms first."""
         leader = self.leader
         if leader is None:
@@ -191,7 +191,7 @@
                 return
             grant = leader.grant(report, self.state, self.now)
             vm.deliver(
-                self.delay_s(), boot, lambda: vm.state.take_grant(grant, asked_s)
+                self.delay_s(), boot, lambda: vm.state.apply_grant(grant, requested_s)
             )
 
         self.later(self.delay_s(), confirmed)
@@ -211,7 +211,7 @@
             self.index += 1
             outcome = self.state.apply(self.index, command)
             if outcome.kind is not None and leader is self.leader is not None:
-                leader.not_taken(command)
+                leader.discard_change(command)
 
     def _inject_fault(self):
         vm = self.random.choice(self.vms)
--- a/tests/sidecar/test_narrow_links.py
+++ b/tests/sidecar/test_narrow_links.py
@@ -33,7 +33,7 @@
 
     life: str = FORWARD.life
     heartbeat: object = None
-    heard_s: float = 0.0
+    heartbeat_received_s: float = 0.0
 
     def accepts_new(self, is_sharded, now):
         return True
@@ -54,7 +54,7 @@
     def target_headers(self, forward, name, left_ms):
         return ()
 
-    def judge(self, reply, attempt_id):
+    def classify_reply(self, reply, attempt_id):
         return Verdict.ANSWERED
 
 
