--- a/tamarackhaven/_daemon.py
+++ b/tamarackhaven/_daemon.py
@@ -27,7 +27,7 @@
 from tamarackhaven._shared_route import SharedRoute
 from tamarackhaven._silence import HangDetector
 from tamarackhaven._target_link import TargetLink
-from tamarackhaven._verify import Standing
+from tamarackhaven._verify import DaemonStatus
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 _ANNOUNCE_THREADS = 2
@@ -105,7 +105,7 @@
         self._canceller = Canceller()
         owner = Owner(
             settings,
-            self.standing,
+            self.status,
             lease,
             self._grants,
             self.ledger,
@@ -127,7 +127,7 @@
             view,
             owner,
             self._forwarder,
-            self.standing,
+            self.status,
             Retries(
                 owner_retries(settings.threads), PolicyMode.EXCLUSIVE, metrics, clock
             ),
@@ -139,7 +139,7 @@
             settings, view, owner, self._forwarder, retries, metrics, clock
         )
         return RequestPath(
-            view, exclusive, self._shared, self.standing, metrics, log, clock
+            view, exclusive, self._shared, self.status, metrics, log, clock
         )
 
     def _open_ports(self, on_ledger_part):
@@ -343,9 +343,9 @@
             "lease_held": self._lease.holds(now),
         }
 
-    def standing(self):
-        """Return the current ``Standing`` of this daemon."""
-        return Standing(
+    def status(self):
+        """Return the current ``DaemonStatus`` of this daemon."""
+        return DaemonStatus(
             service=self.settings.service,
             target=self.settings.target,
             draining=self._is_draining or self.link.state().leaving,
--- a/tamarackhaven/_owner.py
+++ b/tamarackhaven/_owner.py
@@ -39,8 +39,8 @@
     ----------
     settings : DaemonSettings
         For ``stale_s``.
-    standing : callable
-        Returns this daemon's ``Standing``.
+    status : callable
+        Returns this daemon's ``DaemonStatus``.
     lease : Lease
         The lease of this daemon's target.
     grants : Grants
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings,
-        standing,
+        status,
         lease,
         grants,
         ledger,
@@ -76,7 +76,7 @@
         hang_detector,
     ):
         self._settings = settings
-        self._standing = standing
+        self._status = status
         self._lease = lease
         self._grants = grants
         self._ledger = ledger
@@ -111,7 +111,7 @@
 
     def _verify(self, located):
         now = self._clock.boot_s()
-        verify(located, self._standing(), self._lease, self._settings.stale_s, now)
+        verify(located, self._status(), self._lease, self._settings.stale_s, now)
 
     def _run_booking(self, request, located, gone):
         booking = booking_try(request, located)
--- a/tamarackhaven/_owner_route.py
+++ b/tamarackhaven/_owner_route.py
@@ -26,8 +26,8 @@
         Serves keys that this daemon's target owns.
     forwarder : Forwarder
         Forwards requests for all other keys.
-    standing : callable
-        Returns this daemon's ``Standing``.
+    status : callable
+        Returns this daemon's ``DaemonStatus``.
     retries : Retries
         The retry budget of exclusive services.
     metrics : Metrics
@@ -37,13 +37,13 @@
     """
 
     def __init__(
-        self, settings, view, owner, forwarder, standing, retries, metrics, clock
+        self, settings, view, owner, forwarder, status, retries, metrics, clock
     ):
         self._settings = settings
         self._view = view
         self._owner = owner
         self._forwarder = forwarder
-        self._standing = standing
+        self._status = status
         self._retries = retries
         self._metrics = metrics
         self._clock = clock
@@ -80,7 +80,7 @@
         if located.owner is None:
             detail = f"Shard {located.grant.shard}."
             raise TamarackhavenError(ErrorKind.NO_OWNER, detail, NO_OWNER_RETRY_AFTER_S)
-        if is_owner(located, self._standing()):
+        if is_owner(located, self._status()):
             return self.serve(request, located, gone)
         if located.owner.target == self._settings.target and (
             located.owner.service == self._settings.service
--- a/tamarackhaven/_path.py
+++ b/tamarackhaven/_path.py
@@ -30,8 +30,8 @@
         For services whose keys have one owner.
     shared : SharedRoute
         For services where any target serves any key.
-    standing : callable
-        Returns this daemon's ``Standing``.
+    status : callable
+        Returns this daemon's ``DaemonStatus``.
     metrics : Metrics
         Counts answers and refusals.
     log : Log
@@ -40,11 +40,11 @@
         Used to check deadlines and to date refusals.
     """
 
-    def __init__(self, view, exclusive, shared, standing, metrics, log, clock):
+    def __init__(self, view, exclusive, shared, status, metrics, log, clock):
         self._view = view
         self._exclusive = exclusive
         self._shared = shared
-        self._standing = standing
+        self._status = status
         self._metrics = metrics
         self._log = log
         self._clock = clock
@@ -141,7 +141,7 @@
         request, located = self._locate(request)
         if located.mode is PolicyMode.SHARED:
             located = self._locate_at_own_target(request, located)
-        elif not is_owner(located, self._standing()) and _forwarder_has_newer_grant(
+        elif not is_owner(located, self._status()) and _forwarder_has_newer_grant(
             raw, located
         ):
             located = (
@@ -152,9 +152,9 @@
     def _locate_at_own_target(self, request, located):
         """Return ``located`` with this daemon's target as the one to serve at."""
         refuse_booking(request)
-        standing = self._standing()
-        member = self._view.member(standing.service, standing.target)
-        if member is None or standing.service != request.service:
+        status = self._status()
+        member = self._view.member(status.service, status.target)
+        if member is None or status.service != request.service:
             raise TamarackhavenError(
                 ErrorKind.NOT_OWNER, "This daemon's target doesn't serve this service."
             )
--- a/tamarackhaven/_verify.py
+++ b/tamarackhaven/_verify.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Standing:
+class DaemonStatus:
     """The status of this daemon at one moment.
 
     Parameters
@@ -31,7 +31,7 @@
     confirmed_s: float
 
 
-def verify(located, standing, lease, stale_s, now):
+def verify(located, status, lease, stale_s, now):
     """Refuse a request that this daemon may not serve at ``now``.
 
     ``stale_s`` is the greatest age of a confirmed view, in seconds; ``now`` is in
@@ -43,13 +43,13 @@
         NOT_OWNER, DRAINING, ZONE_OUT, STATE_STALE or LEASE_LOST; the request
         did not run.
     """
-    if not is_owner(located, standing):
+    if not is_owner(located, status):
         raise _refusal_error(ErrorKind.NOT_OWNER)
-    if standing.draining:
+    if status.draining:
         raise _refusal_error(ErrorKind.DRAINING)
-    if standing.zone is ZoneState.OUT:
+    if status.zone is ZoneState.OUT:
         raise _refusal_error(ErrorKind.ZONE_OUT)
-    if now - standing.confirmed_s > stale_s:
+    if now - status.confirmed_s > stale_s:
         raise _refusal_error(ErrorKind.STATE_STALE)
     # A daemon that resumes after a pause still has its old map and would serve a key
     # that another target owns by now. The lease check is sufficient because the lease
@@ -64,10 +64,10 @@
         raise _refusal_error(ErrorKind.LEASE_LOST)
 
 
-def is_owner(located, standing):
+def is_owner(located, status):
     """Return whether this daemon's target owns the key."""
     grant = located.grant
-    return (grant.service, grant.owner) == (standing.service, standing.target)
+    return (grant.service, grant.owner) == (status.service, status.target)
 
 
 def _refusal_error(kind):
--- a/tests/test_path_http.py
+++ b/tests/test_path_http.py
@@ -272,7 +272,7 @@
     drained = []
     drain = threading.Thread(target=lambda: drained.append(node.daemon.drain()))
     drain.start()
-    wait_for(lambda: node.daemon.standing().draining)
+    wait_for(lambda: node.daemon.status().draining)
     refused = node.ask()
     thread.join()
     drain.join()
