--- a/tamarackhaven/fleet/_joining.py
+++ b/tamarackhaven/fleet/_joining.py
@@ -48,7 +48,10 @@
         return frozenset({*members, *seeds, *self._received_addresses} - {self._own})
 
     def addresses_to_ask(self, status, seeds, now):
-        """Return the addresses to ask now; none if this VM has a leader.
+        """Return the addresses to ask now.
+
+        None are asked while this VM is a member and had a leader within
+        LEADERLESS_TIMEOUT_S.
 
         Parameters
         ----------
--- a/tamarackhaven/fleet/_leadership.py
+++ b/tamarackhaven/fleet/_leadership.py
@@ -347,8 +347,8 @@
         """Whether the owner's target doesn't hold a range and refuses to.
 
         A target that has seen a higher fencing token than the range's refuses every
-        order under the present one, and the keys stay unserved. Assigning them again
-        creates a higher token, which it accepts.
+        order under the present one, and the keys stay unserved. They are assigned
+        again, perhaps to another target, with a new, higher token.
         """
         reported = self._reported_by_life.get(key_range.owner)
         if reported is None or reported.report.settled.term != self.term:
@@ -422,8 +422,8 @@
 
         A daemon that has just restarted doesn't know what its target was granted
         before. Keys that move away from such a target stay unserved for some seconds,
-        until every grant that it may have received has expired. So they are left out
-        of balancing, which the restarts themselves may have made necessary.
+        until every grant that it may have received has expired. So balancing moves no
+        keys away from them; the imbalance may itself come from the restarts.
         """
         return {
             life
--- a/tamarackhaven/fleet/_leases.py
+++ b/tamarackhaven/fleet/_leases.py
@@ -1,7 +1,8 @@
 """Tracks until when targets may still hold what a leader granted them. Pure."""
 
 # Two VMs' clocks may run at slightly different rates, and a grant is recorded a moment
-# after the daemon asked for it. The margin is 1 % of a lease of 15 s.
+# after the daemon asked for it. Covers a difference in clock rates of 1 % for leases of
+# up to 15 s. The settings allow longer leases, for which it covers less.
 CLOCK_MARGIN_S = 0.15
 
 
--- a/tamarackhaven/fleet/_model.py
+++ b/tamarackhaven/fleet/_model.py
@@ -15,7 +15,8 @@
     """The phase that a target reports."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishes running requests, accepts no new ones
+    # Serves the keys it holds for a while, accepts no other new requests.
+    DRAINING = "draining"
 
 
 @attrs.frozen
@@ -31,7 +32,8 @@
     owner : str
         Life of the owning target (``Target.life``), empty if none.
     handover : str
-        Token of the former owner's release, for a warm start; may be empty.
+        Handover token with which the former owner released the keys, for a warm start;
+        may be empty.
     """
 
     first: int
--- a/tamarackhaven/fleet/_report_answers.py
+++ b/tamarackhaven/fleet/_report_answers.py
@@ -45,7 +45,10 @@
             self._confirm_task = loop.create_task(self._confirm())
 
     async def _confirm(self):
-        """Answer queued reports after a quorum has confirmed this leader."""
+        """Answer queued reports once a quorum has confirmed this leader.
+
+        The quorum does so in a round that began after the reports were received.
+        """
         try:
             while self._report_by_link:
                 await asyncio.sleep(CONFIRM_BATCH_S)
--- a/tamarackhaven/fleet/_settings.py
+++ b/tamarackhaven/fleet/_settings.py
@@ -95,7 +95,8 @@
     tolerated_losses : int
         Control VMs that may be lost at once.
     order_timeout_s : float
-        Time within which an operator's order must be committed.
+        How long to wait, in seconds, until an operator's order is committed; after
+        that its outcome is reported as unconfirmed.
     lease : FleetLeaseSettings
         Leases of targets.
     """
--- a/tamarackhaven/fleet/_state.py
+++ b/tamarackhaven/fleet/_state.py
@@ -66,7 +66,8 @@
     expected : tuple of KeyRange
         Ranges as the leader saw them; the command is void if any has changed.
     cause : str
-        Reason, for the log.
+        Reason, written to the log line of the applied command unless its outcome has a
+        detail.
     """
 
     service: str
--- a/tamarackhaven/sidecar/__init__.py
+++ b/tamarackhaven/sidecar/__init__.py
@@ -1,4 +1,7 @@
-"""The daemon beside a target: routes requests, runs the gate and grants keys."""
+"""The daemon beside a target.
+
+Routes requests, runs the gate and tells the target which keys to hold.
+"""
 
 from tamarackhaven.sidecar._called_holds import GrantOrder, OrderEnd, ReleaseOrder
 from tamarackhaven.sidecar._daemon import Daemon
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -24,7 +24,7 @@
 # The answer to a caller is sent this long before the caller's deadline.
 ANSWER_MARGIN_S = 0.015
 # A daemon without a configuration, or without a target of a service, usually receives
-# one within this time. It's also the retry time that refused callers are given.
+# one within this time. Also the retry time in DRAINING and STATE_STALE refusals.
 UNKNOWN_STATE_RETRY_S = 0.3
 # Keys whose owner is lost have no owner until its lease expires, and callers would wait
 # for an answer that can't come. They wait for this fraction of the time left: a move of
@@ -42,7 +42,8 @@
 # A request is retried only if this fraction of its objective is left until its
 # deadline: less than half of all requests are answered in a shorter time.
 MIN_RETRY_TIME_FRACTION = 0.3
-# A request to a shared service is refused after this many targets have refused it.
+# A request to a shared service is refused after this many refusals that didn't count
+# against its attempts; busy replies to requests that may not wait don't count.
 MAX_REFUSALS = 3
 # Kinds of refusals after which another target may have capacity for the request.
 _NO_CAPACITY_KINDS = frozenset({ErrorKind.QUEUE_FULL.name, ErrorKind.TARGET_COLD.name})
@@ -50,7 +51,8 @@
 _UNREACHABLE_KINDS = frozenset(
     {ErrorKind.OWNER_UNREACHABLE.name, ErrorKind.TARGET_UNREACHABLE.name}
 )
-# Kinds that are internal to the fleet, each with the kind that callers get instead.
+# Kinds that callers must not get, each with its replacement: they refer to single
+# targets, and the caller may send the request again.
 _CALLER_KIND_BY_KIND = {
     ErrorKind.NOT_OWNER: ErrorKind.MOVING,
     ErrorKind.DEADLINE_PAST: ErrorKind.QUEUE_TIMEOUT,
--- a/tamarackhaven/sidecar/_choice.py
+++ b/tamarackhaven/sidecar/_choice.py
@@ -1,9 +1,10 @@
 """Chooses the target of a shared service that gets a request. Pure.
 
 Targets differ in speed and slow down for moments, and what a daemon knows of their
-load is slightly out of date. Otherwise a slow target would collect queued requests
-while others are idle. So each target is judged by the time that a request would take
-there, from the load that its daemon reported last and the requests sent since.
+load is slightly out of date. If targets were chosen without regard to this, a slow one
+would collect queued requests while others are idle. So each target is judged by the
+time that a request would take there, from the load that its daemon reported last and
+the requests sent since.
 """
 
 import attrs
--- a/tamarackhaven/sidecar/_daemon.py
+++ b/tamarackhaven/sidecar/_daemon.py
@@ -187,7 +187,10 @@
         self._caller_server.stop_listening()
 
     def _update_link_gauges(self):
-        """Set the gauges of bytes in flight, for the metrics page."""
+        """Set the gauges of the link.
+
+        Bytes announced, arriving and unsent, and its throughput.
+        """
         intake = self.inbound.intake
         self.metrics.gauge("tamarackhaven_body_announced_bytes", intake.remaining_bytes)
         self.metrics.gauge(
--- a/tamarackhaven/sidecar/_gate.py
+++ b/tamarackhaven/sidecar/_gate.py
@@ -44,7 +44,7 @@
 
 
 # A zone that comes back cold meets its former demand. At the bare cold rate most of it
-# is refused, though targets fail only well above that rate; 1.5 times the rate is too
+# is refused, though targets fail only well above that rate; half as much again is too
 # much.
 COLD_RATE_FACTOR = 1.25
 
@@ -356,7 +356,9 @@
         return decisions
 
     def _should_drop(self, offer, now):
-        """Whether a queued request can't be answered any more and should be refused.
+        """Whether a queued request should be refused.
+
+        It can't be answered by its deadline, or it is late in lasting overload.
 
         Under lasting overload, requests that can still be in time go first, so a late
         one would wait until its deadline.
--- a/tamarackhaven/sidecar/_inbound.py
+++ b/tamarackhaven/sidecar/_inbound.py
@@ -22,8 +22,8 @@
 # An owner in a zone that is out serves its keys for this fraction of the allowed time.
 # The rest covers a daemon that is notified late.
 ZONE_GRACE_FRACTION = 0.4
-# A request whose key is about to be granted checks for it at this interval, and
-# whenever the target may have been granted keys.
+# A request whose key the target is about to be told to hold checks for it at this
+# interval, and whenever the target may have been told to hold keys.
 KEY_POLL_INTERVAL_S = 0.1
 # While a daemon is cut off from the control VMs, the lease on its target's new keys
 # doesn't arrive. Callers for these keys wait for at most this fraction of the time
@@ -119,7 +119,7 @@
         self._apply(self._gate.settle(boot_s()))
 
     def wake_key_waiters(self):
-        """Wake requests that wait for a key that the target may have been granted."""
+        """Wake requests that wait for a key the target may have been told to hold."""
         self._keys_changed.notify_all()
 
     def _update_cold(self):
@@ -227,8 +227,8 @@
         now = boot_s()
         wait_until_s = now + KEY_WAIT_FRACTION * (deadline_s - now)
         while not self._state.holds(forward.key, boot_s()):
-            # The target is granted an arriving key within a heartbeat. After a refusal
-            # the caller would stay away for longer than that.
+            # The target is told to hold an arriving key within a heartbeat. After a
+            # refusal the caller would stay away for longer than that.
             if not self._is_key_arriving(forward):
                 return ErrorKind.NOT_OWNER
             if boot_s() + KEY_POLL_INTERVAL_S >= wait_until_s:
@@ -239,7 +239,7 @@
         return self._closed_kind(forward)
 
     def _is_key_arriving(self, forward):
-        """Whether the target is about to be granted a request's key.
+        """Whether the target is about to be told to hold a request's key.
 
         This daemon may have received the new owner, but not yet the lease. A lease that
         is based on the same owners and omits the key means that the key is moving away.
--- a/tamarackhaven/sidecar/_runs.py
+++ b/tamarackhaven/sidecar/_runs.py
@@ -6,8 +6,8 @@
 from tamarackhaven.errors import ErrorKind
 from tamarackhaven.sidecar._messages import Lost
 
-# A daemon that lost its link retries on a new one until the request's deadline. A
-# result is kept this long after that.
+# A daemon that lost its link retries on a new one until the request's deadline. This
+# long after it no retry can arrive, so the result is removed.
 RESULT_TTL_S = 2.0
 MAX_SAFE_LEFT_S = 4.0
 # A key is kept this long after its result was removed: a copy of the forward may still
--- a/tamarackhaven/sidecar/_target_state.py
+++ b/tamarackhaven/sidecar/_target_state.py
@@ -1,4 +1,4 @@
-"""A daemon's state of the target beside it, and the keys that it grants to the target.
+"""A daemon's state of the target beside it, and the keys it tells the target to hold.
 
 Pure: heartbeats, grants and the time are passed in.
 """
@@ -173,7 +173,10 @@
         return self._keys is not None and self._keys.holds(key, now)
 
     def is_granted(self, key, now):
-        """Whether the target holds ``key`` or is about to be granted it."""
+        """Whether the newest grant, until it expires, includes ``key``.
+
+        The target holds it or is about to be told to hold it.
+        """
         return self._keys is not None and self._keys.is_granted(key, now)
 
     @property
@@ -201,7 +204,10 @@
 
     @property
     def refused(self):
-        """What the target refuses to hold with its current fence, as ``Hold`` tuple."""
+        """Ranges that the target refuses to hold under their present fence.
+
+        A tuple of ``Hold``.
+        """
         return self._keys.refused if self._keys else ()
 
     # Questions.
