--- a/tamarackhaven/fleet/_placement.py
+++ b/tamarackhaven/fleet/_placement.py
@@ -202,10 +202,10 @@
     return moves
 
 
-def balance(ranges, utilization, max_moves, excluded=()):
+def balance(ranges, utilization, max_moves, excluded_donors=()):
     """Return up to ``max_moves`` moves from the most to the least utilized targets.
 
-    Nothing moves away from the lives in ``excluded``.
+    Nothing moves away from the lives in ``excluded_donors``.
     """
     moves = []
     ranges = list(ranges)
@@ -218,7 +218,7 @@
     # If one key is too hot for any target, its owner stays the most utilized one and
     # has no piece that can move. Unless it's skipped, no other target's keys would move
     # either.
-    exhausted = set(excluded)
+    exhausted = set(excluded_donors)
     while len(moves) < max_moves:
         receiver, donor = utilization.least(), utilization.most(excluding=exhausted)
         if donor is None:
--- a/tamarackhaven/sidecar/_budget.py
+++ b/tamarackhaven/sidecar/_budget.py
@@ -7,7 +7,7 @@
 DIRECT_RETRY_FRACTION = 0.6
 
 
-class RetryBudget:
+class ServiceRetryBudget:
     """Counts requests and retries of one service in a sliding window.
 
     Parameters
--- a/tamarackhaven/sidecar/_callers.py
+++ b/tamarackhaven/sidecar/_callers.py
@@ -10,7 +10,7 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 from tamarackhaven.net import HttpResponse
 from tamarackhaven.routing import RequestKind, Splitter
-from tamarackhaven.sidecar._budget import RetryBudget
+from tamarackhaven.sidecar._budget import ServiceRetryBudget
 from tamarackhaven.sidecar._choice import Chooser, has_failed
 from tamarackhaven.sidecar._messages import (
     Answered,
@@ -257,7 +257,7 @@
     def _service_budget(self, service):
         budget = self._budget_by_service.get(service)
         if budget is None:
-            budget = RetryBudget(self._settings.budget)
+            budget = ServiceRetryBudget(self._settings.budget)
             self._budget_by_service[service] = budget
         return budget
 
--- a/tamarackhaven/sidecar/_runs.py
+++ b/tamarackhaven/sidecar/_runs.py
@@ -10,12 +10,12 @@
 # long after it no retry can arrive, so the result is removed.
 RESULT_TTL_S = 2.0
 MAX_SAFE_LEFT_S = 4.0
-# A key is kept this long after its result was removed: a copy of the forward may still
-# be in the buffers of a narrow link.
-COMPLETED_KEY_TTL_S = 60.0
-# Many bookings a second would fill the memory with their keys. This many take a few
+# The id of an unsafe request is kept this long after its result was removed: a copy of
+# the forward may still be in the buffers of a narrow link.
+COMPLETED_ID_TTL_S = 60.0
+# Many bookings a second would fill the memory with their ids. This many take a few
 # megabytes; the oldest are removed first.
-MAX_COMPLETED_KEYS = 20_000
+MAX_COMPLETED_IDS = 20_000
 # How often finished requests are looked through.
 CLEANUP_INTERVAL_S = 0.5
 # A link that breaks is reconnected within this time if its daemon still runs.
@@ -33,11 +33,11 @@
 
     def __init__(self, inbound):
         self._inbound = inbound
-        self._task_by_key = {}
+        self._task_by_id = {}
         self._next_cleanup_s = 0.0
-        self._forward_by_key = {}
-        self._retained_until_s_by_key = {}
-        self._completed_until_s_by_key = {}
+        self._forward_by_id = {}
+        self._retained_until_s_by_id = {}
+        self._completed_until_s_by_id = {}
 
     def expected_wait_s(self, query):
         """Return the expected wait here in seconds, None if no request is accepted."""
@@ -55,8 +55,8 @@
         incoming : IncomingBody or None
             Its body, if that has yet to be transferred.
         """
-        task = self._task_by_key.get(key)
-        if task is None and key in self._completed_until_s_by_key:
+        task = self._task_by_id.get(key)
+        if task is None and key in self._completed_until_s_by_id:
             return _lost_future(forward)
         if task is None:
             run = self._inbound.run(forward, incoming)
@@ -68,9 +68,9 @@
                 # A safe request may run again; kept for minutes, answers would fill the
                 # memory.
                 left_s = min(left_s, MAX_SAFE_LEFT_S)
-            self._retained_until_s_by_key[key] = boot_s() + left_s + RESULT_TTL_S
-            self._task_by_key[key] = task
-            self._forward_by_key[key] = forward
+            self._retained_until_s_by_id[key] = boot_s() + left_s + RESULT_TTL_S
+            self._task_by_id[key] = task
+            self._forward_by_id[key] = forward
             self._drop_finished()
         return task
 
@@ -80,20 +80,20 @@
         if now < self._next_cleanup_s:
             return
         self._next_cleanup_s = now + CLEANUP_INTERVAL_S
-        for key, until_s in list(self._retained_until_s_by_key.items()):
-            if until_s < now and self._task_by_key[key].done():
-                del self._retained_until_s_by_key[key]
-                del self._task_by_key[key]
-                if not self._forward_by_key.pop(key).is_safe:
-                    self._completed_until_s_by_key[key] = now + COMPLETED_KEY_TTL_S
-        self._drop_completed_keys(now)
-
-    def _drop_completed_keys(self, now):
-        """Remove keys of unsafe requests of which no copy can arrive any more."""
-        completed = self._completed_until_s_by_key
+        for key, until_s in list(self._retained_until_s_by_id.items()):
+            if until_s < now and self._task_by_id[key].done():
+                del self._retained_until_s_by_id[key]
+                del self._task_by_id[key]
+                if not self._forward_by_id.pop(key).is_safe:
+                    self._completed_until_s_by_id[key] = now + COMPLETED_ID_TTL_S
+        self._drop_completed_ids(now)
+
+    def _drop_completed_ids(self, now):
+        """Remove ids of unsafe requests of which no copy can arrive any more."""
+        completed = self._completed_until_s_by_id
         while completed:
             oldest = next(iter(completed))
-            if completed[oldest] >= now and len(completed) <= MAX_COMPLETED_KEYS:
+            if completed[oldest] >= now and len(completed) <= MAX_COMPLETED_IDS:
                 return
             del completed[oldest]
 
@@ -103,10 +103,10 @@
         An unsafe request that was sent to the target continues: if it were cancelled,
         it would be unknown whether it ran.
         """
-        task = self._task_by_key.get(key)
+        task = self._task_by_id.get(key)
         if task is None or task.done():
             return
-        forward = self._forward_by_key[key]
+        forward = self._forward_by_id[key]
         if forward.is_safe or not self._inbound.is_sending(forward):
             task.cancel()
 
--- a/tests/sidecar/test_runs.py
+++ b/tests/sidecar/test_runs.py
@@ -44,7 +44,7 @@
             await runs.start(("one", number), attrs.evolve(FORWARD, number=number))
         clock[0] += 10.0
         runs.start(("one", 1000), FORWARD)
-        assert len(runs._task_by_key) == 1
+        assert len(runs._task_by_id) == 1
 
     run(test, monkeypatch)
 
@@ -73,9 +73,9 @@
         await runs.start(("one", 1), booking)
         clock[0] += 10.0
         await runs.start(("one", 2), FORWARD)
-        assert list(runs._completed_until_s_by_key) == [("one", 1)]
-        clock[0] += _runs.COMPLETED_KEY_TTL_S + 1.0
+        assert list(runs._completed_until_s_by_id) == [("one", 1)]
+        clock[0] += _runs.COMPLETED_ID_TTL_S + 1.0
         await runs.start(("one", 3), FORWARD)
-        assert not runs._completed_until_s_by_key
+        assert not runs._completed_until_s_by_id
 
     run(test, monkeypatch)
