--- a/tamarackhaven/_balance.py
+++ b/tamarackhaven/_balance.py
@@ -131,7 +131,10 @@
 
 
 def _lowers_higher_load(loads, donor, target, load):
-    """Return whether the target stays below the load that the donor has now."""
+    """Return whether the target can take ``load``.
+
+    With it, the target must also stay below the donor's present load.
+    """
     after = (loads.load_by_target[target] + load) / loads.weight_by_target[target]
     before = loads.load_by_target[donor] / loads.capacity_by_target[donor]
     return loads.can_take(target, load) and after < before
--- a/tamarackhaven/_cold_start.py
+++ b/tamarackhaven/_cold_start.py
@@ -7,10 +7,10 @@
 # and over the full cold-start time would refuse requests long after its recovery.
 SUSPECTED_RAMP_FACTOR = 4.0
 # Answers per slot of the ceiling before the next step. With 1, slow requests at a cold
-# target let the ceiling rise by time alone, to ten starts above the capacity of the
-# simulated target. With 8, a target of six slots that warms up after 50 answers per
-# slot crashed. The gate can't know how much work warms a target; more is safer and
-# slower.
+# target let the ceiling rise by time alone, and ten requests more were started than
+# the simulated target could handle. With 8, a target of six slots that warms up after
+# 50 answers per slot crashed. The gate can't know how much work warms a target; more is
+# safer and slower.
 ANSWERS_PER_SLOT_AND_STEP = 20
 # Consecutive sheds and failed connections that make a target cold. One shed means that
 # the limit is a little too high; three without an answer in between mean that the
@@ -63,7 +63,10 @@
         return self._ceiling if self.cold else math.inf
 
     def begin(self, now, suspected=False):
-        """Begin a cold start; ``suspected`` if the target hasn't reported a restart."""
+        """Begin a cold start; ``suspected`` if the last sign of a restart was a shed.
+
+        The ramp of a suspected one is shorter by ``SUSPECTED_RAMP_FACTOR``.
+        """
         ceiling = min(self._settings.cold_requests, self._slots)
         ramp_s = self._settings.cold_s / (SUSPECTED_RAMP_FACTOR if suspected else 1.0)
         self._ceiling = ceiling
--- a/tamarackhaven/_consensus.py
+++ b/tamarackhaven/_consensus.py
@@ -299,7 +299,7 @@
         if self._now >= self._tick_due_s:
             # After a sync that took longer than an election timeout, heartbeats wait in
             # the queue. A follower that checked its election timeout before them would
-            # start a needless election, so the tick comes last.
+            # start a needless election, so the tick comes after all inputs.
             self._tick_due_s = self._now + self._tick_s
             outputs.append(self._raft.tick(self._now))
         if self._pending.has_new_reads:
--- a/tamarackhaven/_fence_round.py
+++ b/tamarackhaven/_fence_round.py
@@ -8,9 +8,9 @@
 from tamarackhaven._lease_times import MS_PER_S, promise_s, renew_s
 from tamarackhaven._model import TargetState
 
-# Wait, in promise times, before an epoch is fenced to which this process has never
-# promised: the target has just joined and must first receive its epoch and renew, or
-# this process has restarted and doesn't know the promises that it made before.
+# Wait, in promise times, before an epoch is fenced to which this process knows of no
+# promise: for example, the target has just joined and must first receive its epoch and
+# renew, or this process has restarted.
 # A target that has just joined owns no shards yet, so no key is without service then.
 _JOIN_GRACE_PROMISES = 3
 # Bounds the rate of requests to a voter that answers that its promise ends sooner.
--- a/tamarackhaven/_files.py
+++ b/tamarackhaven/_files.py
@@ -12,7 +12,7 @@
     """File operations of the operating system; tests override them to fail."""
 
     def open(self, path, flags):
-        """Open a file, readable by this user only, and return its descriptor."""
+        """Open a file, accessible to this user only, and return its descriptor."""
         return os.open(path, flags | os.O_CLOEXEC, 0o600)
 
     def write(self, descriptor, data):
--- a/tamarackhaven/_grants.py
+++ b/tamarackhaven/_grants.py
@@ -39,8 +39,8 @@
             ``pop_part(service, shard)`` returns the ``LedgerPart`` that the former
             owner sent, or None.
         shard_count : int
-            The service's number of ordinary shards; higher shard numbers are pinned
-            keys.
+            The service's number of ordinary shards; shards numbered ``shard_count``
+            and above are pinned keys.
         """
         new_by_shard = {(g.service, g.shard): g for g in grants}
         now_unix = self._clock.unix_s()
--- a/tamarackhaven/_limit.py
+++ b/tamarackhaven/_limit.py
@@ -34,10 +34,11 @@
 TRIAL_WINDOWS = 2
 # Windows without a new trial after one that had no effect.
 TRIAL_BACKOFF_WINDOWS = 8
-# Decrease after a shed. The sheds of one overload count once per round of requests.
+# Factor applied to the limit after a shed. The sheds of one overload count once per
+# round of requests.
 SHED_FACTOR = 0.7
-# Growth of the base latency per window: a target that has become permanently slower (a
-# new release) sets the base after about 50 windows.
+# Maximum growth of the base latency per window: a target that has become permanently
+# slower (a new release) sets the base after about 50 windows.
 BASE_GROWTH_FACTOR = 1.02
 # An older report doesn't describe the present state of the target.
 MAX_REPORT_AGE_S = 5.0
--- a/tamarackhaven/_raft_log.py
+++ b/tamarackhaven/_raft_log.py
@@ -8,8 +8,9 @@
 from tamarackhaven.errors import ErrorKind, TamarackhavenError
 
 # A message over the transport's limit (4 MiB for gRPC) would be refused at every
-# retry, and a member that lags behind large commands would never catch up. A batch
-# is at most a quarter of the limit, unless a single entry is larger.
+# retry, and a member that lags behind large commands would never catch up. The
+# commands of a batch are at most a quarter of the limit, unless a single entry is
+# larger.
 MAX_BATCH_BYTES = 1 << 20
 
 
@@ -81,9 +82,10 @@
         return tuple(self._entries[first - start : last - start + 1])
 
     def batch(self, first, last, limit):
-        """Return at most ``limit`` entries and ``MAX_BATCH_BYTES`` from ``first`` on.
+        """Return entries from ``first`` on.
 
-        The first entry is returned even if it is larger.
+        They are at most ``limit`` entries and ``MAX_BATCH_BYTES`` of commands. The
+        first entry is returned even if it is larger.
         """
         entries = self.entries_between(first, min(last, first + limit - 1))
         sizes = itertools.accumulate(len(entry.command) for entry in entries)
--- a/tamarackhaven/_record.py
+++ b/tamarackhaven/_record.py
@@ -28,7 +28,8 @@
 _FILE_HEADER = struct.Struct(">6sH")
 _FILE_MARK = b"THAVEN"
 _RECORD_MARK = b"\xf1REC"
-_RECORD_HEADER = struct.Struct(">4sII")  # mark, body length in bytes, checksum of both
+# mark, body length in bytes, checksum of length and body
+_RECORD_HEADER = struct.Struct(">4sII")
 _WRITE_HEADER = struct.Struct(">BI")  # kind of a write, length of its body in bytes
 _HARD_STATE_HEADER = struct.Struct(">Q")
 _ENTRY_HEADER = struct.Struct(">QQB")  # index, term, kind
@@ -39,7 +40,10 @@
 
 @attrs.frozen
 class Scan:
-    """Valid record bodies of a file; ``end`` is the offset after the last record."""
+    """Valid record bodies of a file.
+
+    ``end`` is the offset in bytes after the last valid one.
+    """
 
     bodies: tuple[bytes, ...]
     end: int
--- a/tamarackhaven/_rules.py
+++ b/tamarackhaven/_rules.py
@@ -100,10 +100,10 @@
         raise TamarackhavenError(ErrorKind.UNKNOWN_ZONE, change.zone)
     old = state.member(change.service, change.target)
     is_same_process = old is not None and old.instance == change.instance
-    # The leader may miss the reports of an old process that still holds its lease. If
-    # a new process were admitted and released a shard meanwhile, two targets would
-    # serve the same key. The epoch of a lost target is fenced by a majority, so its
-    # process can never hold a lease again.
+    # An old process may only seem silent to the leader and still hold its lease. If a
+    # new process were admitted and released a shard meanwhile, two targets would serve
+    # the same key. The epoch of a lost target is fenced by a majority, so its process
+    # can never hold a lease again.
     if old is not None and not is_same_process and old.state is not TargetState.LOST:
         raise TamarackhavenError(
             ErrorKind.NAME_CLAIMED,
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -9,7 +9,7 @@
 
 
 class HangDetector:
-    """Tracks when one target last reported or answered.
+    """Tracks how long one target has been silent while requests are in flight.
 
     Parameters
     ----------
@@ -64,7 +64,9 @@
             self._record_message(now)
 
     def check(self, now):
-        """Return whether the target is hung at ``now``, in seconds; a hang is kept.
+        """Return whether the target is hung at ``now``, in seconds.
+
+        It stays so until its next message.
 
         A target that hasn't reported since its start can't be distinguished from one
         that is busy with long requests, so only the deadlines of its requests apply.
--- a/tamarackhaven/_storage.py
+++ b/tamarackhaven/_storage.py
@@ -137,7 +137,8 @@
         """Whether the folder has no member yet.
 
         A member that has voted must not restart with a new folder under its old name,
-        because its term and vote are lost and it could vote twice.
+        because its term, its vote and the entries that it acknowledged are lost: it
+        could vote twice, and committed entries could be lost.
         """
         return self.identity is None
 
