--- a/tamarackhaven/_fair_queue.py
+++ b/tamarackhaven/_fair_queue.py
@@ -2,8 +2,8 @@
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996) in two dimensions: each request
 carries the virtual start time of its key and of its caller, and the later of the two
-orders it. The n-th batch of requests of a key or caller is therefore queued behind the
-first n - 1 batches of all others, and a hot key or a scanning caller delays mostly its
+orders it. The n-th round of requests of a key or caller is therefore queued behind the
+first n - 1 rounds of all others, and a hot key or a scanning caller delays mostly its
 own requests.
 """
 
@@ -11,11 +11,11 @@
 
 import attrs
 
-# Size of a batch, as a fraction of the queue. Within a batch, requests are ordered by
-# deadline. With batches of one request, callers that were briefly busy by chance waited
-# for all others: p99 of lookups at 1x load was 840 ms, against 640 ms for first come,
-# first served.
-BATCH_FRACTION = 1 / 16
+# Size of a round, the requests of one key or caller that count as equal, as a fraction
+# of the queue. Within a round, requests are ordered by deadline. With rounds of one
+# request, callers that were briefly busy by chance waited for all others: p99 of
+# lookups at 1x load was 840 ms, against 640 ms for first come, first served.
+ROUND_FRACTION = 1 / 16
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
     Parameters
     ----------
     order : tuple
-        Batch number, then deadline in seconds, then arrival number.
+        Round number, then deadline in seconds, then arrival number.
     offer : Offer
         The request.
     start_by_s : float
@@ -90,7 +90,7 @@
         self._entries = []
         self._virtual = 0
         self._arrivals = 0
-        self._batch_size = max(1, int(BATCH_FRACTION * settings.queue_requests))
+        self._round_size = max(1, int(ROUND_FRACTION * settings.queue_requests))
 
     def __len__(self):
         return len(self._entries)
@@ -132,7 +132,7 @@
             self._keys.start(offer.key_hash, self._virtual),
             self._callers.start(offer.caller, self._virtual),
         )
-        return (start // self._batch_size, offer.deadline_s, self._arrivals)
+        return (start // self._round_size, offer.deadline_s, self._arrivals)
 
     def push(self, offer, start_by_s):
         """Add ``offer`` to the queue, to start by ``start_by_s`` (seconds)."""
@@ -175,7 +175,7 @@
         starts, as an idle slot would benefit no request.
         """
         entry = self._first_under_share(limit) or self._entries[0]
-        self._virtual = max(self._virtual, entry.order[0] * self._batch_size)
+        self._virtual = max(self._virtual, entry.order[0] * self._round_size)
         self.remove(entry)
         self._forget()
         return entry
--- a/tamarackhaven/_gate.py
+++ b/tamarackhaven/_gate.py
@@ -13,7 +13,7 @@
 from tamarackhaven._cold_start import ColdStart, RestartDetector
 from tamarackhaven._fair_queue import FairQueue
 from tamarackhaven._gate_messages import Admit, End, Refuse, Wait
-from tamarackhaven._limit import MAX_REPORT_AGE_S, LatencyShift, LearnedLimit
+from tamarackhaven._limit import MAX_TARGET_REPORT_AGE_S, LatencyShift, LearnedLimit
 from tamarackhaven._retry_after import DequeueRate, RetryDelays
 from tamarackhaven.errors import ErrorKind
 
@@ -123,7 +123,7 @@
         if self._queue.caller_over_share(offer):
             return ErrorKind.CALLER_SHARE
         if self._would_start_late(offer):
-            return self._expired_kind()
+            return self._queue_timeout_kind()
         return None
 
     def _would_start_late(self, offer):
@@ -155,7 +155,7 @@
             return ErrorKind.CONNECTIONS_FULL
         return ErrorKind.QUEUE_FULL
 
-    def _expired_kind(self):
+    def _queue_timeout_kind(self):
         return ErrorKind.TARGET_COLD if self._cold.cold else ErrorKind.QUEUE_TIMEOUT
 
     def _has_free_slot(self):
@@ -276,7 +276,7 @@
         for entry in self._queue.entries:
             if next_start_s >= entry.start_by_s:
                 self._queue.remove(entry)
-                decisions.append(self._refuse(entry.offer, self._expired_kind()))
+                decisions.append(self._refuse(entry.offer, self._queue_timeout_kind()))
             else:
                 next_start_s += interval_s
         return decisions
@@ -302,7 +302,7 @@
         if self._restart_detector.report(report, now):
             self._limit.restart()
             self._cold.begin(now)
-        if report.age_s <= MAX_REPORT_AGE_S:
+        if report.age_s <= MAX_TARGET_REPORT_AGE_S:
             self._limit.report(report.slots, now - report.age_s)
             self._free_abandoned(report, now - report.age_s)
 
--- a/tamarackhaven/_limit.py
+++ b/tamarackhaven/_limit.py
@@ -39,9 +39,9 @@
 SHED_FACTOR = 0.7
 # Maximum growth of the base latency per window: a target that has become permanently
 # slower (a new release) sets the base after about 50 windows.
-BASE_GROWTH_FACTOR = 1.02
+MAX_BASE_GROWTH_FACTOR = 1.02
 # An older report doesn't describe the present state of the target.
-MAX_REPORT_AGE_S = 5.0
+MAX_TARGET_REPORT_AGE_S = 5.0
 
 
 class LatencyShift(enum.Enum):
@@ -102,7 +102,7 @@
         self.base_s = 0.0  # 0 until the first window
         self._limit = float(slots)
         self._samples = []
-        self._is_window_full = False
+        self._limit_reached_in_window = False
         self._proven_concurrency = 0
         self._trial = _Trial()
         self._shed_backoff_answers = 0
@@ -120,7 +120,7 @@
         well is misleading, as sheds would show a lack of slots. So the bound is never
         below ``_proven_concurrency``.
         """
-        weight = max(0.0, 1.0 - (now - self._reported_at) / MAX_REPORT_AGE_S)
+        weight = max(0.0, 1.0 - (now - self._reported_at) / MAX_TARGET_REPORT_AGE_S)
         reported = weight * self._reported + (1.0 - weight) * self.slots
         return min(self.slots, max(reported, self._proven_concurrency, 1))
 
@@ -140,7 +140,9 @@
         target, including this one.
         """
         self._samples.append(latency_s)
-        self._is_window_full = self._is_window_full or running >= self.value(now)
+        self._limit_reached_in_window = (
+            self._limit_reached_in_window or running >= self.value(now)
+        )
         self._shed_backoff_answers = max(0, self._shed_backoff_answers - 1)
         if len(self._samples) < WINDOW_ANSWERS:
             return None
@@ -149,9 +151,12 @@
     def _close_window(self, running):
         low_latency_s = sorted(self._samples)[int(LOW_QUANTILE * len(self._samples))]
         self._samples = []
-        full, self._is_window_full = self._is_window_full, False
+        limit_was_reached, self._limit_reached_in_window = (
+            self._limit_reached_in_window,
+            False,
+        )
         base_s = self.base_s or low_latency_s
-        self.base_s = min(low_latency_s, base_s * BASE_GROWTH_FACTOR)
+        self.base_s = min(low_latency_s, base_s * MAX_BASE_GROWTH_FACTOR)
         if low_latency_s > LATENCY_JUMP_FACTOR * base_s:
             # The new base applies at once: requests that become permanently longer
             # cause one jump and don't keep the target cold.
@@ -164,7 +169,7 @@
             )
             return None
         self._trial = _Trial()
-        if full:
+        if limit_was_reached:
             self._proven_concurrency = max(self._proven_concurrency, running)
             self._limit = min(self.slots, self._limit + 1.0)
         return (
--- a/tamarackhaven/_pins.py
+++ b/tamarackhaven/_pins.py
@@ -11,7 +11,7 @@
 from tamarackhaven._changes import PinKey, ShardMove, UnpinKey
 from tamarackhaven._keys import shard_of
 
-MAX_REPORT_AGE_S = 90.0
+MAX_LOAD_REPORT_AGE_S = 90.0
 """Age above which reports are ignored; they arrive a few times a minute."""
 
 REPORT_HALF_LIFE_S = 30.0
@@ -180,7 +180,7 @@
 
     def _forget_stale(self, now):
         for target_id, received in list(self._received_by_target.items()):
-            if now - received.received_at_s > MAX_REPORT_AGE_S:
+            if now - received.received_at_s > MAX_LOAD_REPORT_AGE_S:
                 del self._received_by_target[target_id]
 
 
--- a/tamarackhaven/_silence.py
+++ b/tamarackhaven/_silence.py
@@ -24,7 +24,7 @@
         self._lock = lock
         self._in_flight = 0
         self._has_reported = False
-        self._last_message_s = 0.0
+        self._silent_since_s = 0.0
         self._is_hung = False
 
     @property
@@ -36,7 +36,7 @@
         """Record a request that is sent to the target at ``now``, in seconds."""
         with self._lock:
             if not self._in_flight:
-                self._last_message_s = max(self._last_message_s, now)
+                self._silent_since_s = max(self._silent_since_s, now)
             self._in_flight += 1
 
     def ended(self, answered, now):
@@ -73,10 +73,10 @@
         """
         with self._lock:
             waiting = self._in_flight and self._has_reported and self._silent_s
-            if waiting and now - self._last_message_s >= self._silent_s:
+            if waiting and now - self._silent_since_s >= self._silent_s:
                 self._is_hung = True
             return self._is_hung
 
     def _record_message(self, now):
-        self._last_message_s = max(self._last_message_s, now)
+        self._silent_since_s = max(self._silent_since_s, now)
         self._is_hung = False
--- a/tests/test_hot_keys.py
+++ b/tests/test_hot_keys.py
@@ -9,7 +9,7 @@
 from tamarackhaven._events import HotKey, LoadReport
 from tamarackhaven._hot_keys import HotKeys, HotKeySettings
 from tamarackhaven._model import OwnershipPolicy, Service, ShardGrant
-from tamarackhaven._pins import MAX_REPORT_AGE_S, PinPlanner
+from tamarackhaven._pins import MAX_LOAD_REPORT_AGE_S, PinPlanner
 from tamarackhaven._settings import PlacementSettings
 
 SERVICE = Service("track", "alone", shard_count=4)
@@ -111,7 +111,7 @@
     report(planner, 1, epoch=4, k7=0.5)
     pinned = planner.decide(SERVICE, POLICY, {}, 2).changes
     assert [change.key_hash for change in pinned] == [6]
-    late = planner.decide(SERVICE, POLICY, grants("t1"), MAX_REPORT_AGE_S + 1)
+    late = planner.decide(SERVICE, POLICY, grants("t1"), MAX_LOAD_REPORT_AGE_S + 1)
     assert late.changes == late.moves == []
 
 
